--- a/packages/savoryyoke/savoryyoke/groups/balancing/__init__.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/__init__.py
@@ -1,5 +1,8 @@
-"""Plan expert maps that follow demand, within what engines copy at once.
+"""Plan maps of experts to ranks that follow the demand for experts.
 
-Written for small processes: it needs no numeric library and yields between
-the sets of a map.
+A map assigns experts to the slots of each rank, separately for each set of
+experts. Plans respect how many experts an engine can copy in one change.
+
+The package suits small VMs: it needs no numeric library, and a search
+yields to its caller between two sets of a map.
 """
--- a/packages/savoryyoke/savoryyoke/groups/balancing/conf.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/conf.py
@@ -5,13 +5,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BalancePolicy:
-    """Say when a new map pays.
+    """Hold the conditions under which a new map is proposed.
 
-    A change is proposed when it shortens the experts' part of a pass by
-    ``least_gain`` (a share) and passes last ``least_pass_s`` at least: on
-    shorter ones callers gain nothing, and copies slow passes down. Each
-    expert that is copied must lower the highest load of its set by
-    ``relief_per_copy`` times the mean load.
+    A new map must shorten the experts' part of a forward pass by the share
+    ``least_gain`` at least. Forward passes must last ``least_pass_s`` at
+    least: for shorter ones callers gain nothing, while copying experts slows
+    passes down. Each copied expert must lower the highest load of its set by
+    ``relief_per_copy`` times the mean demand of a rank.
     """
 
     least_gain: float = 0.3
@@ -19,24 +19,25 @@
     relief_per_copy: float = 0.08
 
 
-# Maps of former versions are kept for a change of the leader.
-MAPS_KEPT = 4
+# Earlier versions of the map remain available to a newly elected leader.
+MAX_STORED_MAPS = 4
 
-# On the users' days demand shifts every three to four seconds. Within a
-# shift, the demand of 0.3 s is 0.05 to 0.2 away from that before it (total
-# variation distance); across a shift it is 0.35 to 0.5 away.
-RECENT_S = 0.3
-SHIFT_DISTANCE = 0.3
-SETTLED_HALF_LIFE_S = 4.0
+# In the users' workload demand shifts every three to four seconds. Between
+# shifts, the demand of 0.3 s differs from the demand before it by a total
+# variation distance of 0.05 to 0.2; across a shift, by 0.35 to 0.5.
+RECENT_WINDOW_S = 0.3
+MIN_SHIFT_DISTANCE = 0.3
+BASELINE_HALF_LIFE_S = 4.0
 
-# Fewer tokens than this say little about 72 experts.
-LEAST_CHOICES = 2000
+# Fewer choices are too small a sample for the demand of 72 experts.
+MIN_CHOICES_PER_SET = 2000
 
-# Ranks that are tried as helpers of the most loaded one. With 63 ranks this
-# takes 27 ms a set in place of 45, and maps are as even (1.19 in the mean of
-# 12 played shifts); groups of up to 24 ranks are tried whole.
-HELPERS_LIMIT = 24
+# Number of ranks that are considered as receivers of experts of the most
+# loaded rank. With 63 ranks this limit shortens the search from 45 ms to 27 ms
+# per set without making maps less even (a mean peak of 1.19 in 12 simulated
+# shifts). Groups of up to 24 ranks are searched completely.
+MAX_RECEIVERS = 24
 
-# Bounds the changes to one set of a plan: 12 ranks need at most 36, and 63
-# ranks some 50.
-CHANGES_LIMIT = 80
+# Upper limit of the steps of one search. 12 ranks need at most 36 steps, and
+# 63 ranks about 50.
+MAX_STEPS_PER_SET = 80
--- a/packages/savoryyoke/savoryyoke/groups/balancing/contents.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/contents.py
@@ -1,4 +1,4 @@
-"""Know what each version of a group's map holds."""
+"""Store the contents of a group's expert maps by version."""
 
 from savoryyoke.groups.balancing import conf
 from savoryyoke.groups.balancing import planner
@@ -6,29 +6,34 @@
 
 
 class MapContents:
-    """Own the maps that are known, by version.
+    """Store the latest expert maps by version.
 
-    Agents learn maps from the leader's directives. A leader that has been
-    restarted since then collects the map in use from what each rank holds.
+    Agents receive maps with the leader's directives. A leader that was
+    restarted in the meantime reassembles the map in use from the experts that
+    each rank reports.
     """
 
     def __init__(self):
         self._shape = None
         self._experts_by_version = {}
-        self._held_by_rank = {}
+        self._rank_maps_by_rank = {}
 
     def set_shape(self, shape):
-        """Take over the sets and experts of the group; forget all maps."""
+        """Set the numbers of sets and experts, and discard all maps."""
         self._shape = shape
         self._experts_by_version.clear()
-        self._held_by_rank.clear()
+        self._rank_maps_by_rank.clear()
 
     def knows(self, version):
-        """Return whether the map of ``version`` is known."""
+        """Return whether the map of ``version`` is available."""
         return version == 0 or version in self._experts_by_version
 
     def find(self, version, *, ranks):
-        """Return experts by set, rank and place; None if unknown."""
+        """Return the experts by set, rank and slot, or None if unavailable.
+
+        ``ranks`` is the number of ranks, which determines the map of version
+        0, the one that a group starts with.
+        """
         if version == 0 and self._shape is not None:
             return planner.make_first_map(
                 sets=self._shape.sets, ranks=ranks, experts=self._shape.experts
@@ -36,38 +41,43 @@
         return self._experts_by_version.get(version)
 
     def find_kept(self, version):
-        """Return the ``models.ExpertMap`` of a version, or None."""
+        """Return the stored ``models.ExpertMap`` of a version, or None."""
         experts = self._experts_by_version.get(version)
         if experts is None:
             return None
         return models.ExpertMap(version=version, experts=experts)
 
     def note_map(self, expert_map):
-        """Remember a ``models.ExpertMap``."""
+        """Store a ``models.ExpertMap`` and discard the oldest if needed."""
         self._experts_by_version[expert_map.version] = expert_map.experts
-        while len(self._experts_by_version) > conf.MAPS_KEPT:
+        while len(self._experts_by_version) > conf.MAX_STORED_MAPS:
             del self._experts_by_version[min(self._experts_by_version)]
 
-    def note_held(self, rank, held, *, ranks):
-        """Take in the ``models.RankMap`` of a rank.
+    def note_held(self, rank, rank_map, *, ranks):
+        """Add the ``models.RankMap`` that a rank has reported.
 
-        The map is known once all ranks have reported the same version. What
-        does not fit the shape is left out: it is of another group's life.
+        The map is stored once all ``ranks`` ranks have reported the same
+        version. Reports with another number of sets are ignored, since they
+        belong to an earlier group with another shape.
         """
-        if self._shape is None or len(held.experts) != self._shape.sets:
+        if self._shape is None or len(rank_map.experts) != self._shape.sets:
             return
-        self._held_by_rank[rank] = held
-        held_by_rank = {
-            other: known
-            for other, known in self._held_by_rank.items()
-            if known.version == held.version
+        self._rank_maps_by_rank[rank] = rank_map
+        same_version_by_rank = {
+            reporting_rank: reported_map
+            for reporting_rank, reported_map in self._rank_maps_by_rank.items()
+            if reported_map.version == rank_map.version
         }
-        if set(held_by_rank) != set(range(ranks)):
+        if set(same_version_by_rank) != set(range(ranks)):
             return
-        by_rank = [held_by_rank[other].experts for other in range(ranks)]
+        experts_by_rank = [
+            same_version_by_rank[reporting_rank].experts
+            for reporting_rank in range(ranks)
+        ]
         self.note_map(
             models.ExpertMap(
-                version=held.version, experts=tuple(zip(*by_rank, strict=True))
+                version=rank_map.version,
+                experts=tuple(zip(*experts_by_rank, strict=True)),
             )
         )
-        self._held_by_rank.clear()
+        self._rank_maps_by_rank.clear()
--- a/packages/savoryyoke/savoryyoke/groups/balancing/demand.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/demand.py
@@ -1,4 +1,8 @@
-"""Estimate how often each expert is chosen now."""
+"""Estimate the present demand for each expert.
+
+The demand for an expert is the share of the choices of its set that select
+it. A choice is the selection of an expert for a token.
+"""
 
 import collections
 
@@ -6,26 +10,34 @@
 
 
 class ChoicesSum:
-    """Add up choices of experts until they are reported.
+    """Sum up choices of experts between two reports to the leader.
 
-    The counts of an engine grow from its start; smaller ones than before are
-    those of a new start.
+    An engine counts choices cumulatively from its start, so a count that is
+    smaller than before means that the engine was restarted.
     """
 
     def __init__(self):
-        self._counts = None
+        self._engine_counts = None
         self._sum = None
 
     def note_counts(self, counts):
-        """Take in the counts of the own engine."""
-        known, self._counts = self._counts, counts
-        if known is None or len(known) != len(counts):
+        """Add the increase of the own engine's cumulative counts.
+
+        The first counts, and those after a restart of the engine or a change
+        of its number of experts, only set the base of later increases.
+        """
+        previous_counts, self._engine_counts = self._engine_counts, counts
+        if previous_counts is None or len(previous_counts) != len(counts):
             return
-        if not any(map(int.__lt__, counts, known)):
-            self.add(list(map(int.__sub__, counts, known)))
+        if not any(map(int.__lt__, counts, previous_counts)):
+            self.add(list(map(int.__sub__, counts, previous_counts)))
 
     def add(self, choices):
-        """Take in the choices that another rank has reported."""
+        """Add choices, such as those that another rank has reported.
+
+        ``choices`` holds a number per expert, set by set. Choices of another
+        length than the sum so far replace it.
+        """
         if self._sum is None or len(self._sum) != len(choices):
             self._sum = list(choices)
         else:
@@ -33,86 +45,103 @@
 
     def take(self):
         """Return the choices since the last call; None if there are none."""
-        taken, self._sum = self._sum, None
-        return taken if taken is not None and any(taken) else None
+        choices, self._sum = self._sum, None
+        return choices if choices is not None and any(choices) else None
 
 
 class Demand:
-    """Add up the choices of all ranks since the last shift of demand.
-
-    Answers demand that stays as it is for some seconds and then shifts at
-    once. Counts of the recent window are compared with those before it:
-    where they are too far apart, the older ones are dropped, so that no plan
-    rests on demand that is over. Otherwise all count, fading slowly, since
-    the requests of one moment say little about the next.
-
+    """Estimate the demand from the choices of all ranks since its last shift.
+
+    Demand stays stable for some seconds and then shifts abruptly. The choices
+    of a recent window are therefore compared with the baseline, the choices
+    before that window. If the two differ too much, the baseline is dropped,
+    so that no plan is based on outdated demand. Otherwise the estimate
+    includes both, because the few requests of a short window are a small
+    sample. The baseline decays slowly.
     """
 
     def __init__(self, *, sets, experts):
         self._sets = sets
         self._experts = experts
         self._recent = collections.deque()
-        self._settled = [0.0] * (sets * experts)
-        self._settled_s = None
+        self._baseline = [0.0] * (sets * experts)
+        self._baseline_s = None
         self.shift = None
 
     def add(self, choices, *, now_s):
-        """Take in how often experts were chosen: a flat sequence by set."""
-        if len(choices) == len(self._settled):
+        """Add the number of choices of each expert, set by set.
+
+        Choices of another number of experts are ignored.
+        """
+        if len(choices) == len(self._baseline):
             self._recent.append((now_s, choices))
 
     def estimate(self, *, now_s):
-        """Return the demand by set and expert, or None while unknown.
+        """Return the demand by set and expert; None with too few choices.
 
-        Each set's demand adds up to 1. ``shift`` is the distance of a shift
-        that was found just now, from 0 to 1, else None.
+        The demand of each set adds up to 1. If this call detects a shift,
+        ``shift`` is set to the distance between the recent demand and the
+        baseline, from 0 to 1; otherwise it is None.
         """
-        self._settle(now_s)
-        recent = [0] * len(self._settled)
-        for _, increase in self._recent:
-            recent = list(map(int.__add__, recent, increase))
-        self._drop_settled_after_shift(recent)
-        total = list(map(float.__add__, self._settled, map(float, recent)))
-        if not self._is_enough(total):
+        self._move_expired_to_baseline(now_s)
+        recent_counts = [0] * len(self._baseline)
+        for _, choices in self._recent:
+            recent_counts = list(map(int.__add__, recent_counts, choices))
+        self._drop_baseline_after_shift(recent_counts)
+        total_counts = list(
+            map(float.__add__, self._baseline, map(float, recent_counts))
+        )
+        if not self._is_enough(total_counts):
             return None
-        return [_normalize(one) for one in self._split(total)]
-
-    def _settle(self, now_s):
-        """Add what has left the recent window to the settled counts."""
-        while self._recent and now_s - self._recent[0][0] > conf.RECENT_S:
-            noted_s, increase = self._recent.popleft()
-            self._fade(noted_s)
-            self._settled = list(
-                map(float.__add__, self._settled, map(float, increase))
+        return [
+            _normalize(set_counts)
+            for set_counts in self._split_by_set(total_counts)
+        ]
+
+    def _move_expired_to_baseline(self, now_s):
+        """Move choices that are older than the recent window."""
+        while (
+            self._recent and now_s - self._recent[0][0] > conf.RECENT_WINDOW_S
+        ):
+            received_s, choices = self._recent.popleft()
+            self._decay_baseline(received_s)
+            self._baseline = list(
+                map(float.__add__, self._baseline, map(float, choices))
             )
 
-    def _fade(self, now_s):
-        if self._settled_s is not None:
-            passed_s = max(now_s - self._settled_s, 0.0)
-            kept = 0.5 ** (passed_s / conf.SETTLED_HALF_LIFE_S)
-            self._settled = [kept * x for x in self._settled]
-        self._settled_s = now_s
+    def _decay_baseline(self, now_s):
+        if self._baseline_s is not None:
+            elapsed_s = max(now_s - self._baseline_s, 0.0)
+            decay_factor = 0.5 ** (elapsed_s / conf.BASELINE_HALF_LIFE_S)
+            self._baseline = [decay_factor * count for count in self._baseline]
+        self._baseline_s = now_s
 
-    def _drop_settled_after_shift(self, recent):
+    def _drop_baseline_after_shift(self, recent_counts):
         self.shift = None
-        if not self._is_enough(recent) or not self._is_enough(self._settled):
+        if not self._is_enough(recent_counts) or not self._is_enough(
+            self._baseline
+        ):
             return
         distances = [
-            _find_distance(_normalize(new), _normalize(old))
-            for new, old in zip(
-                self._split(recent), self._split(self._settled), strict=True
+            _find_distance(
+                _normalize(recent_set_counts), _normalize(baseline_set_counts)
+            )
+            for recent_set_counts, baseline_set_counts in zip(
+                self._split_by_set(recent_counts),
+                self._split_by_set(self._baseline),
+                strict=True,
             )
         ]
-        distance = sum(distances) / len(distances)
-        if distance >= conf.SHIFT_DISTANCE:
-            self.shift = distance
-            self._settled = [0.0] * len(self._settled)
+        mean_distance = sum(distances) / len(distances)
+        if mean_distance >= conf.MIN_SHIFT_DISTANCE:
+            self.shift = mean_distance
+            self._baseline = [0.0] * len(self._baseline)
 
     def _is_enough(self, counts):
-        return sum(counts) >= conf.LEAST_CHOICES * self._sets
+        return sum(counts) >= conf.MIN_CHOICES_PER_SET * self._sets
 
-    def _split(self, counts):
-        """Return the counts of each set."""
+    def _split_by_set(self, counts):
+        """Return a list of the counts of each set."""
         return [
             counts[start : start + self._experts]
             for start in range(0, len(counts), self._experts)
@@ -124,6 +153,6 @@
     return [count / total for count in counts]
 
 
-def _find_distance(demand, other):
-    """Return the total variation distance of two demands."""
-    return sum(map(abs, map(float.__sub__, demand, other))) / 2
+def _find_distance(demand, reference_demand):
+    """Return the total variation distance of two demands of one set."""
+    return sum(map(abs, map(float.__sub__, demand, reference_demand))) / 2
--- a/packages/savoryyoke/savoryyoke/groups/balancing/planner.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/planner.py
@@ -1,4 +1,4 @@
-"""Decide when a group should change to which map."""
+"""Plan a new map for all sets of experts of a group."""
 
 import dataclasses
 
@@ -7,11 +7,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """Propose experts by set, rank and place.
+    """Propose a map and state what it costs and gains.
 
-    ``peak_before`` and ``peak_after`` are means over the sets of the most
-    loaded rank's load over the mean. ``copies`` counts the experts that
-    ranks have to copy.
+    ``experts`` holds the proposed experts by set, rank and slot.
+    ``peak_before`` and ``peak_after`` are the results of ``search.find_peak``
+    for the present and the proposed map, averaged over the sets. ``copies``
+    is the number of experts that ranks have to copy, over all sets and ranks.
     """
 
     experts: tuple[tuple[tuple[int, ...], ...], ...]
@@ -21,41 +22,54 @@
 
     @property
     def gain(self):
-        """Return the share by which the experts' part gets shorter."""
+        """Return the share by which the experts' part of a pass shortens."""
         return 1 - self.peak_after / self.peak_before
 
 
 def make_first_map(*, sets, ranks, experts):
-    """Return the map that groups form with: experts in turn."""
-    one = tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
-    return (one,) * sets
+    """Return the map that a group starts with, by set, rank and slot.
+
+    It deals the experts of each set to the ranks in turn.
+    """
+    experts_by_rank = tuple(
+        tuple(range(rank, experts, ranks)) for rank in range(ranks)
+    )
+    return (experts_by_rank,) * sets
 
 
-def plan_in_slices(present, demand, *, paces, places, spare, relief_per_copy):
-    """Yield None after each set, then return a ``Plan``.
+def plan_in_slices(
+    present_map, demand, *, paces, places, spare, relief_per_copy
+):
+    """Plan a map set by set: yield None after each set, return a ``Plan``.
 
-    ``paces`` holds each rank's time over the usual one.
+    ``present_map`` holds the experts by set, rank and slot, ``demand`` the
+    demand by set and expert. ``paces`` holds the slowdown of each rank: the
+    time that it takes for its work, divided by the usual time. ``places`` is
+    the number of slots of a rank in a set, ``spare`` the largest number of
+    experts that a rank can copy in a set. Each copied expert must lower the
+    highest load of its set by ``relief_per_copy`` times the mean demand of a
+    rank.
     """
-    planned = []
-    before = after = 0.0
+    planned_sets = []
+    peak_sum_before = peak_sum_after = 0.0
     copies = 0
-    for ranks_experts, wanted in zip(present, demand, strict=True):
-        found = search.balance_set(
-            ranks_experts,
-            wanted,
-            paces=paces,
-            places=places,
-            spare=spare,
-            relief_per_copy=relief_per_copy,
+    for present_set, set_demand in zip(present_map, demand, strict=True):
+        planned_set = search.balance_set(
+            present_set,
+            set_demand,
+            slowdowns=paces,
+            slots=places,
+            max_copies_per_rank=spare,
+            min_reduction_per_copy=relief_per_copy,
         )
-        copies += search.count_copies(ranks_experts, found)
-        before += search.find_peak(ranks_experts, wanted, paces)
-        after += search.find_peak(found, wanted, paces)
-        planned.append(found)
+        copies += search.count_copies(present_set, planned_set)
+        peak_sum_before += search.find_peak(present_set, set_demand, paces)
+        peak_sum_after += search.find_peak(planned_set, set_demand, paces)
+        planned_sets.append(planned_set)
         yield
     return Plan(
-        experts=tuple(planned),
-        peak_before=before / len(planned),
-        peak_after=after / len(planned),
+        experts=tuple(planned_sets),
+        peak_before=peak_sum_before / len(planned_sets),
+        peak_after=peak_sum_after / len(planned_sets),
         copies=copies,
     )
--- a/packages/savoryyoke/savoryyoke/groups/balancing/search.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/search.py
@@ -1,233 +1,327 @@
-"""Search one set of a map that spreads its demand over the ranks."""
+"""Search for an even assignment of one set's experts to ranks."""
 
 from savoryyoke.groups.balancing import conf
 
-# A step that copies nothing must lower the highest load by this share.
-_LEAST_STEP = 1e-3
+# A step that copies no expert must lower the highest load by this share.
+_MIN_STEP_GAIN_SHARE = 1e-3
 
 
-def find_loads(ranks_experts, demand, paces):
-    """Return the load of each rank, weighted by its pace.
+def find_loads(experts_by_rank, demand, slowdowns):
+    """Return the load of each rank, multiplied by its slowdown.
 
-    The demand of an expert is split evenly among its holders.
+    The demand of an expert is split evenly among the ranks that hold it.
     """
-    copies = [0] * len(demand)
-    for experts in ranks_experts:
+    holder_counts = [0] * len(demand)
+    for experts in experts_by_rank:
         for expert in experts:
-            copies[expert] += 1
+            holder_counts[expert] += 1
     return [
-        pace * sum(demand[expert] / copies[expert] for expert in experts)
-        for experts, pace in zip(ranks_experts, paces, strict=True)
+        slowdown
+        * sum(demand[expert] / holder_counts[expert] for expert in experts)
+        for experts, slowdown in zip(experts_by_rank, slowdowns, strict=True)
     ]
 
 
-def find_peak(ranks_experts, demand, paces):
-    """Return the highest load of a rank, times the ranks, over the demand.
+def find_peak(experts_by_rank, demand, slowdowns):
+    """Return the highest load of a rank divided by the mean demand of a rank.
 
-    1.0 is a perfectly even set of ranks at the usual pace.
+    1.0 means that all ranks have the same load and no slowdown.
     """
-    total = sum(demand)
-    if not total:
+    total_demand = sum(demand)
+    if not total_demand:
         return 1.0
-    loads = find_loads(ranks_experts, demand, paces)
-    return max(loads) * len(loads) / total
+    loads = find_loads(experts_by_rank, demand, slowdowns)
+    return max(loads) * len(loads) / total_demand
 
 
-def count_copies(present, following):
-    """Return how many experts ranks have to copy for a change of a set."""
+def count_copies(present_set, planned_set):
+    """Return how many experts all ranks have to copy to change one set.
+
+    Both arguments hold the experts of each rank.
+    """
     return sum(
-        len(set(new) - set(old))
-        for old, new in zip(present, following, strict=True)
+        len(set(planned_experts) - set(present_experts))
+        for present_experts, planned_experts in zip(
+            present_set, planned_set, strict=True
+        )
     )
 
 
 def balance_set(
-    ranks_experts, demand, *, paces, places, spare, relief_per_copy
+    experts_by_rank,
+    demand,
+    *,
+    slowdowns,
+    slots,
+    max_copies_per_rank,
+    min_reduction_per_copy,
 ):
     """Return the experts of each rank after a greedy search.
 
-    Starts from the present ``ranks_experts``. A rank holds at most
-    ``places`` experts, and at most ``spare`` that it does not hold now. Each
-    expert that has to be copied must lower the highest load by
-    ``relief_per_copy`` times the mean load.
+    The search starts from the present ``experts_by_rank``. A rank holds at
+    most ``slots`` experts and copies at most ``max_copies_per_rank`` that it
+    does not hold at present. Each copied expert must lower the highest load
+    by ``min_reduction_per_copy`` times the mean demand of a rank.
     """
     search = _Search(
-        ranks_experts,
+        experts_by_rank,
         demand,
-        paces=paces,
-        places=places,
-        spare=spare,
-        relief_per_copy=relief_per_copy,
+        slowdowns=slowdowns,
+        slots=slots,
+        max_copies_per_rank=max_copies_per_rank,
+        min_reduction_per_copy=min_reduction_per_copy,
     )
-    for _ in range(conf.CHANGES_LIMIT):
+    for _ in range(conf.MAX_STEPS_PER_SET):
         if not search.improve():
             break
     return search.result()
 
 
 class _Search:
-    """Own one set while it is changed step by step."""
+    """Improve the assignment of one set step by step.
+
+    A step is a tuple of changes, each of which is a rank, the expert that it
+    adds or None, and the expert that it removes or None.
+    """
 
     def __init__(
-        self, ranks_experts, demand, *, paces, places, spare, relief_per_copy
+        self,
+        experts_by_rank,
+        demand,
+        *,
+        slowdowns,
+        slots,
+        max_copies_per_rank,
+        min_reduction_per_copy,
     ):
-        self._present = [frozenset(experts) for experts in ranks_experts]
-        self._held = [set(experts) for experts in ranks_experts]
+        self._present_by_rank = [
+            frozenset(experts) for experts in experts_by_rank
+        ]
+        self._planned_by_rank = [set(experts) for experts in experts_by_rank]
         self._demand = demand
-        self._paces = paces
-        self._places = places
-        self._spare = spare
-        self._holders = [set() for _ in demand]
-        for rank, experts in enumerate(self._held):
+        self._slowdowns = slowdowns
+        self._slots = slots
+        self._max_copies_per_rank = max_copies_per_rank
+        self._holders_by_expert = [set() for _ in demand]
+        for rank, experts in enumerate(self._planned_by_rank):
             for expert in experts:
-                self._holders[expert].add(rank)
-        self._loads = find_loads(self._held, demand, paces)
-        self._price = relief_per_copy * sum(demand) / len(self._held)
-        self._gain = 0.0
-        self._chosen = None
+                self._holders_by_expert[expert].add(rank)
+        self._loads = find_loads(self._planned_by_rank, demand, slowdowns)
+        self._copy_cost = (
+            min_reduction_per_copy * sum(demand) / len(self._planned_by_rank)
+        )
+        self._best_gain = 0.0
+        self._best_step = None
 
     def result(self):
-        """Return the experts of each rank, in order."""
-        return tuple(tuple(sorted(experts)) for experts in self._held)
+        """Return the experts of each rank in ascending order."""
+        return tuple(
+            tuple(sorted(experts)) for experts in self._planned_by_rank
+        )
 
     def improve(self):
-        """Take the best step for the most loaded rank, if there is one."""
-        peak = max(self._loads)
-        slowest = self._loads.index(peak)
-        self._gain = _LEAST_STEP * peak
-        self._chosen = None
-        helpers = self._order_by_load(peak)[: conf.HELPERS_LIMIT]
-        for rank in helpers:
-            if rank != slowest:
-                self._relieve_with(rank, slowest, peak)
-        if self._chosen is None:
+        """Apply the best step for the most loaded rank.
+
+        Return whether there was a step that lowers the load enough.
+        """
+        peak_load = max(self._loads)
+        busiest_rank = self._loads.index(peak_load)
+        self._best_gain = _MIN_STEP_GAIN_SHARE * peak_load
+        self._best_step = None
+        receivers = self._order_by_load(peak_load)[: conf.MAX_RECEIVERS]
+        for receiver in receivers:
+            if receiver != busiest_rank:
+                self._consider_receiver(receiver, busiest_rank, peak_load)
+        if self._best_step is None:
             return False
-        self._take(self._chosen)
+        self._apply_step(self._best_step)
         return True
 
-    def _order_by_load(self, peak):
-        """Return the ranks, the least loaded first, to a quarter of the peak.
+    def _order_by_load(self, peak_load):
+        """Return the ranks by load, rounded to a quarter of the peak load.
 
-        The best steps mostly go to the least loaded ranks. Ranks that are
-        about equal keep their order: to help always with the emptiest one uses
-        up what it may copy.
+        The best steps mostly involve the least loaded ranks. Ranks with about
+        the same load keep their order: choosing the least loaded rank every
+        time would soon use up the number of experts that it may copy.
         """
         return sorted(
             range(len(self._loads)),
-            key=lambda rank: round(4 * self._loads[rank] / peak),
+            key=lambda rank: round(4 * self._loads[rank] / peak_load),
         )
 
-    def _relieve_with(self, rank, slowest, peak):
-        """Try the steps that bring experts of the slowest rank to another.
+    def _consider_receiver(self, receiver, busiest_rank, peak_load):
+        """Consider adding experts of the busiest rank to a receiver.
 
-        Lower bounds on the loads of the two ranks rule most steps out
-        before they are worked out.
+        Lower bounds of the loads of these two ranks exclude most steps before
+        their exact effect has to be computed.
         """
-        for expert in self._held[slowest] - self._held[rank]:
-            if not self._may_add(rank, expert):
+        for expert in (
+            self._planned_by_rank[busiest_rank]
+            - self._planned_by_rank[receiver]
+        ):
+            if not self._can_add(receiver, expert):
                 continue
-            holders = len(self._holders[expert])
-            moved = self._demand[expert] / holders
-            shared = self._demand[expert] / (holders + 1)
-            price = 0.0 if expert in self._present[rank] else self._price
-            pace = self._paces[slowest]
-            if pace * (moved - shared) > self._gain + price:
-                height = peak - self._gain - price
-                self._share(expert, slowest, rank, shared, height)
-            if pace * moved > self._gain + price:
-                height = peak - self._gain - price
-                self._move(expert, slowest, rank, moved, height)
-
-    def _share(self, expert, slowest, rank, shared, height):
-        """Try the steps after which both ranks hold an expert."""
-        load = self._loads[rank] + self._paces[rank] * shared
-        if len(self._held[rank]) < self._places:
-            if load < height:
-                self._try(((rank, expert, None),))
+            holders = len(self._holders_by_expert[expert])
+            demand_per_holder = self._demand[expert] / holders
+            demand_if_shared = self._demand[expert] / (holders + 1)
+            cost = (
+                0.0
+                if expert in self._present_by_rank[receiver]
+                else self._copy_cost
+            )
+            slowdown = self._slowdowns[busiest_rank]
+            if (
+                slowdown * (demand_per_holder - demand_if_shared)
+                > self._best_gain + cost
+            ):
+                load_limit = peak_load - self._best_gain - cost
+                self._consider_sharing(
+                    expert,
+                    busiest_rank,
+                    receiver,
+                    demand_if_shared,
+                    load_limit,
+                )
+            if slowdown * demand_per_holder > self._best_gain + cost:
+                load_limit = peak_load - self._best_gain - cost
+                self._consider_moving(
+                    expert,
+                    busiest_rank,
+                    receiver,
+                    demand_per_holder,
+                    load_limit,
+                )
+
+    def _consider_sharing(
+        self, expert, busiest_rank, receiver, demand_if_shared, load_limit
+    ):
+        """Consider the steps after which both ranks hold the expert."""
+        load = (
+            self._loads[receiver]
+            + self._slowdowns[receiver] * demand_if_shared
+        )
+        if len(self._planned_by_rank[receiver]) < self._slots:
+            if load < load_limit:
+                self._consider_step(((receiver, expert, None),))
             return
-        for other in self._held[rank]:
-            if len(self._holders[other]) == 1:
+        for replaced in self._planned_by_rank[receiver]:
+            if len(self._holders_by_expert[replaced]) == 1:
                 continue
-            if load - self._load_of(other, rank) < height:
-                self._try(((rank, expert, other),))
-
-    def _move(self, expert, slowest, rank, moved, height):
-        """Try the steps after which the slowest rank holds an expert less."""
-        leave = (slowest, None, expert)
-        load = self._loads[rank] + self._paces[rank] * moved
-        if len(self._held[rank]) < self._places:
-            if load < height:
-                self._try(((rank, expert, None), leave))
+            if load - self._find_expert_load(replaced, receiver) < load_limit:
+                self._consider_step(((receiver, expert, replaced),))
+
+    def _consider_moving(
+        self, expert, busiest_rank, receiver, demand_per_holder, load_limit
+    ):
+        """Consider the steps that move the expert to the receiver.
+
+        If the receiver has no free slot, the expert replaces one that other
+        ranks hold too, or is exchanged for one that only the receiver holds.
+        """
+        removal = (busiest_rank, None, expert)
+        load = (
+            self._loads[receiver]
+            + self._slowdowns[receiver] * demand_per_holder
+        )
+        if len(self._planned_by_rank[receiver]) < self._slots:
+            if load < load_limit:
+                self._consider_step(((receiver, expert, None), removal))
             return
-        for other in self._held[rank]:
-            if load - self._load_of(other, rank) >= height:
+        for replaced in self._planned_by_rank[receiver]:
+            if load - self._find_expert_load(replaced, receiver) >= load_limit:
                 continue
-            if len(self._holders[other]) > 1:
-                self._try(((rank, expert, other), leave))
-            elif other not in self._held[slowest] and self._may_add(
-                slowest, other
-            ):
-                self._try(((rank, expert, other), (slowest, other, expert)))
+            if len(self._holders_by_expert[replaced]) > 1:
+                self._consider_step(((receiver, expert, replaced), removal))
+            elif replaced not in self._planned_by_rank[
+                busiest_rank
+            ] and self._can_add(busiest_rank, replaced):
+                self._consider_step(
+                    (
+                        (receiver, expert, replaced),
+                        (busiest_rank, replaced, expert),
+                    )
+                )
 
-    def _load_of(self, expert, rank):
-        """Return the part of a rank's load that an expert makes up."""
-        share = self._demand[expert] / len(self._holders[expert])
-        return self._paces[rank] * share
+    def _find_expert_load(self, expert, rank):
+        """Return the part of a rank's load that is due to one expert."""
+        demand_per_holder = self._demand[expert] / len(
+            self._holders_by_expert[expert]
+        )
+        return self._slowdowns[rank] * demand_per_holder
 
-    def _try(self, step):
-        """Choose a step if it gains more than those before."""
-        peak = max(self._loads)
-        height = self._height_after(step, peak)
-        gain = peak - height - self._price * self._count_copies(step)
-        if gain > self._gain:
-            self._gain, self._chosen = gain, step
+    def _consider_step(self, step):
+        """Make a step the best one if it gains more than the best so far."""
+        peak_load = max(self._loads)
+        load_after = self._find_load_after(step, peak_load)
+        gain = (
+            peak_load - load_after - self._copy_cost * self._count_copies(step)
+        )
+        if gain > self._best_gain:
+            self._best_gain, self._best_step = gain, step
 
     def _count_copies(self, step):
         return sum(
-            added is not None and added not in self._present[rank]
+            added is not None and added not in self._present_by_rank[rank]
             for rank, added, _ in step
         )
 
-    def _may_add(self, rank, expert):
-        present = self._present[rank]
-        if expert in present:
+    def _can_add(self, rank, expert):
+        present_experts = self._present_by_rank[rank]
+        if expert in present_experts:
             return True
-        return len(self._held[rank] - present) < self._spare
+        return (
+            len(self._planned_by_rank[rank] - present_experts)
+            < self._max_copies_per_rank
+        )
+
+    def _find_load_after(self, step, peak_load):
+        """Return the highest load of the ranks that a step affects.
 
-    def _height_after(self, step, bound):
-        """Return the highest load among the ranks that a step touches."""
-        changes = {}
+        Return ``peak_load`` for a step that leaves an expert without a rank,
+        so that it gains nothing.
+        """
+        changes_by_expert = {}
         experts = set()
         for rank, added, removed in step:
             if added is not None:
                 experts.add(added)
-                changes.setdefault(added, [set(), set()])[0].add(rank)
+                changes_by_expert.setdefault(added, [set(), set()])[0].add(
+                    rank
+                )
             if removed is not None:
                 experts.add(removed)
-                changes.setdefault(removed, [set(), set()])[1].add(rank)
-        loads = {}
+                changes_by_expert.setdefault(removed, [set(), set()])[1].add(
+                    rank
+                )
+        loads_by_rank = {}
         for expert in experts:
-            before = self._holders[expert]
-            gained, lost = changes[expert]
-            after = (before | gained) - lost
-            if not after:
-                return bound
-            old = self._demand[expert] / len(before)
-            new = self._demand[expert] / len(after)
-            for rank in before:
-                known = loads.get(rank, self._loads[rank])
-                loads[rank] = known - old * self._paces[rank]
-            for rank in after:
-                known = loads.get(rank, self._loads[rank])
-                loads[rank] = known + new * self._paces[rank]
-        return max(loads.values())
-
-    def _take(self, step):
+            holders_before = self._holders_by_expert[expert]
+            gaining_ranks, losing_ranks = changes_by_expert[expert]
+            holders_after = (holders_before | gaining_ranks) - losing_ranks
+            if not holders_after:
+                return peak_load
+            demand_before = self._demand[expert] / len(holders_before)
+            demand_after = self._demand[expert] / len(holders_after)
+            for rank in holders_before:
+                load = loads_by_rank.get(rank, self._loads[rank])
+                loads_by_rank[rank] = (
+                    load - demand_before * self._slowdowns[rank]
+                )
+            for rank in holders_after:
+                load = loads_by_rank.get(rank, self._loads[rank])
+                loads_by_rank[rank] = (
+                    load + demand_after * self._slowdowns[rank]
+                )
+        return max(loads_by_rank.values())
+
+    def _apply_step(self, step):
         for rank, added, removed in step:
             if added is not None:
-                self._held[rank].add(added)
-                self._holders[added].add(rank)
+                self._planned_by_rank[rank].add(added)
+                self._holders_by_expert[added].add(rank)
             if removed is not None:
-                self._held[rank].discard(removed)
-                self._holders[removed].discard(rank)
-        self._loads = find_loads(self._held, self._demand, self._paces)
+                self._planned_by_rank[rank].discard(removed)
+                self._holders_by_expert[removed].discard(rank)
+        self._loads = find_loads(
+            self._planned_by_rank, self._demand, self._slowdowns
+        )
--- a/packages/savoryyoke/tests/groups/balancing/test_contents.py
+++ b/packages/savoryyoke/tests/groups/balancing/test_contents.py
@@ -1,4 +1,4 @@
-"""Test what is known of the maps of a group."""
+"""Test the stored maps of a group."""
 
 import dataclasses
 import unittest
@@ -10,7 +10,7 @@
 
 RANKS = 3
 VERSION = 7
-# By set, rank and place.
+# By set, rank and slot.
 EXPERTS = (((0, 3), (1, 4), (2, 5, 0)), ((5,), (4, 3), (0, 1, 2)))
 
 
@@ -20,10 +20,11 @@
     experts: int = 6
 
 
-def hold(rank, *, version=VERSION):
-    """Return what a rank holds under ``EXPERTS``."""
+def make_rank_map(rank, *, version=VERSION):
+    """Return the experts of a rank in the map ``EXPERTS``."""
     return models.RankMap(
-        version=version, experts=tuple(by_rank[rank] for by_rank in EXPERTS)
+        version=version,
+        experts=tuple(experts_by_rank[rank] for experts_by_rank in EXPERTS),
     )
 
 
@@ -32,7 +33,7 @@
         self.contents = contents.MapContents()
         self.contents.set_shape(Shape())
 
-    def test_first_map_needs_no_report(self):
+    def test_initial_map_needs_no_report(self):
         self.assertTrue(self.contents.knows(0))
         self.assertEqual(
             planner.make_first_map(sets=2, ranks=RANKS, experts=6),
@@ -41,43 +42,43 @@
 
     def test_map_is_collected_from_all_ranks(self):
         for rank in (2, 0):
-            self.contents.note_held(rank, hold(rank), ranks=RANKS)
+            self.contents.note_held(rank, make_rank_map(rank), ranks=RANKS)
             self.assertFalse(self.contents.knows(VERSION))
-        self.contents.note_held(1, hold(1), ranks=RANKS)
+        self.contents.note_held(1, make_rank_map(1), ranks=RANKS)
         self.assertTrue(self.contents.knows(VERSION))
         self.assertEqual(EXPERTS, self.contents.find(VERSION, ranks=RANKS))
 
     def test_reports_of_two_versions_are_not_mixed(self):
-        self.contents.note_held(0, hold(0, version=6), ranks=RANKS)
+        self.contents.note_held(0, make_rank_map(0, version=6), ranks=RANKS)
         for rank in (1, 2):
-            self.contents.note_held(rank, hold(rank), ranks=RANKS)
+            self.contents.note_held(rank, make_rank_map(rank), ranks=RANKS)
         self.assertFalse(self.contents.knows(VERSION))
         self.assertFalse(self.contents.knows(6))
-        self.contents.note_held(0, hold(0), ranks=RANKS)
+        self.contents.note_held(0, make_rank_map(0), ranks=RANKS)
         self.assertTrue(self.contents.knows(VERSION))
 
-    def test_report_of_another_number_of_sets_is_left_out(self):
+    def test_report_with_another_number_of_sets_is_ignored(self):
         for rank in range(RANKS):
-            other = models.RankMap(version=VERSION, experts=((0, 1),))
-            self.contents.note_held(rank, other, ranks=RANKS)
+            mismatched = models.RankMap(version=VERSION, experts=((0, 1),))
+            self.contents.note_held(rank, mismatched, ranks=RANKS)
         for rank in (0, 1):
-            self.contents.note_held(rank, hold(rank), ranks=RANKS)
-        other = models.RankMap(version=VERSION, experts=((0, 1),))
-        self.contents.note_held(2, other, ranks=RANKS)
+            self.contents.note_held(rank, make_rank_map(rank), ranks=RANKS)
+        mismatched = models.RankMap(version=VERSION, experts=((0, 1),))
+        self.contents.note_held(2, mismatched, ranks=RANKS)
         self.assertFalse(self.contents.knows(VERSION))
 
-    def test_a_bounded_number_of_maps_is_kept(self):
-        versions = range(1, conf.MAPS_KEPT + 2)
+    def test_only_the_latest_maps_are_stored(self):
+        versions = range(1, conf.MAX_STORED_MAPS + 2)
         for version in versions:
             self.contents.note_map(
                 models.ExpertMap(version=version, experts=EXPERTS)
             )
-        known = [
+        stored_versions = [
             version for version in versions if self.contents.knows(version)
         ]
-        self.assertEqual(list(versions)[1:], known)
+        self.assertEqual(list(versions)[1:], stored_versions)
 
-    def test_another_shape_forgets_all(self):
+    def test_new_shape_discards_all_maps(self):
         self.contents.note_map(
             models.ExpertMap(version=VERSION, experts=EXPERTS)
         )
