--- a/packages/savoryyoke/savoryyoke/groups/orders/__init__.py
+++ b/packages/savoryyoke/savoryyoke/groups/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Give orders to engines that cannot take effect out of date."""
+"""Send orders to engines so that outdated orders take no effect."""
--- a/packages/savoryyoke/savoryyoke/groups/orders/decisions.py
+++ b/packages/savoryyoke/savoryyoke/groups/orders/decisions.py
@@ -7,21 +7,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ForwardOrder:
-    """Send the order to the engine now; ``number`` is its fencing number.
+    """Send an order to the engine at once.
 
-    The order must not be sent once the gate's clock has passed
-    ``deadline_s``.
+    ``content`` is a ``LoadVersion``, ``LoadAdapter`` or ``ChangeRole``. The
+    order must not be sent later than ``deadline_s`` on the gate's clock.
     """
 
     content: object
     token: tokens.OrderToken
-    number: int
+    fencing_number: int
     deadline_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OrderRefused:
-    """Tell the writer that its order did not reach the engine, and why."""
+    """Report to the writer why its order was not sent to the engine."""
 
     token: tokens.OrderToken
     reason: str
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OrderEnded:
-    """Tell the writer how its order ended.
+    """Report the result of an order to its writer.
 
     ``succeeded`` is None if the engine's answer was lost.
     """
@@ -40,4 +40,4 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadEngine:
-    """Read the engine's state before any further order."""
+    """Read the engine's state before sending any further order."""
--- a/packages/savoryyoke/savoryyoke/groups/orders/events.py
+++ b/packages/savoryyoke/savoryyoke/groups/orders/events.py
@@ -7,39 +7,39 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class EngineSeen:
-    """Report the engine's state, read while no order was under way.
+class EngineStateRead:
+    """Report the engine's state, read while no order was in progress.
 
-    ``last`` is the newest token that the engine itself remembers, or None
-    for engines that keep none.
+    ``last_token`` is the newest token that the engine itself has stored, or
+    None for engines that store none.
     """
 
     incarnation: int
-    last: tokens.OrderToken | None = None
+    last_token: tokens.OrderToken | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class EngineUnsure:
-    """Report that the engine's answer or connection was lost."""
+class EngineStateUnknown:
+    """Report that the engine's answer or the connection to it was lost."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RevisionLearnt:
-    """Report the revision of the configuration in force."""
+class RevisionReceived:
+    """Report the revision of the configuration in use."""
 
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OrderReceived:
-    """Report an order for the engine."""
+    """Report that a writer has sent an order for the engine."""
 
     order: messages.FencedOrder
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineAnswered:
-    """Report the engine's answer to the order under way."""
+    """Report the engine's answer to the order in progress."""
 
     token: tokens.OrderToken
     succeeded: bool
--- a/packages/savoryyoke/savoryyoke/groups/orders/messages.py
+++ b/packages/savoryyoke/savoryyoke/groups/orders/messages.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and what their senders read before they write."""
+"""Orders to engines, and the gate's state that they are based on."""
 
 import dataclasses
 import enum
@@ -7,7 +7,11 @@
 
 
 class Enforcement(enum.Enum):
-    """Say who refuses outdated orders; operators declare it."""
+    """Name the component that refuses outdated orders.
+
+    Operators declare it. The slot is the process beside the engine that runs
+    the order gate.
+    """
 
     ENGINE = 'engine'
     SLOT = 'slot'
@@ -16,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadVersion:
-    """Order an engine to serve one immutable version of a model."""
+    """Order an engine to load and serve one immutable version of a model."""
 
     model: str
     version: str
@@ -39,24 +43,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GateView:
-    """Hold what a writer reads from the gate before it writes.
+    """Hold the state of the gate that a writer reads before it writes.
 
-    ``stamp_s`` is the gate's own clock, so that deadlines compare one clock
-    only. ``highest`` is the newest token the gate has forwarded.
+    ``gate_clock_s`` is the time of the reading on the gate's clock, so that
+    deadlines depend on a single clock. ``highest_token`` is the newest token
+    that the gate has forwarded, or None. ``engine_incarnation`` is None while
+    the state of the engine is unknown.
     """
 
     gate_incarnation: int
     engine_incarnation: int | None
-    stamp_s: float
-    highest: tokens.OrderToken | None
+    gate_clock_s: float
+    highest_token: tokens.OrderToken | None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FencedOrder:
-    """Carry an order with all that proves it is not outdated.
+    """Carry an order and the state that shows that it is not outdated.
 
-    Void once ``valid_s`` have passed since the gate's clock read
-    ``view.stamp_s``.
+    ``content`` is a ``LoadVersion``, ``LoadAdapter`` or ``ChangeRole``. The
+    order expires ``valid_s`` after ``view.gate_clock_s``.
     """
 
     content: object
--- a/packages/savoryyoke/savoryyoke/groups/orders/tokens.py
+++ b/packages/savoryyoke/savoryyoke/groups/orders/tokens.py
@@ -1,4 +1,4 @@
-"""Make fencing tokens that rise without any store."""
+"""Make fencing tokens that increase without a shared store."""
 
 import dataclasses
 
@@ -6,18 +6,19 @@
 from savoryyoke.groups.orders import conf
 
 
-class NumberExhausted(exceptions.GroupsError):
-    """Report a token that does not fit a fencing number."""
+class TokenOutOfRange(exceptions.GroupsError):
+    """Report a token that does not fit into a fencing number."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, order=True)
 class OrderToken:
-    """Order the orders to one engine.
+    """Define the sequence of the orders to one engine.
 
-    ``revision`` is that of the operators' configuration, which only grows
-    and which every process learns. ``counter`` is one above the highest that
-    the writer has read from the receiver within that revision. ``writer``
-    is a small hash of the writer; it separates writers that read alike.
+    ``revision`` is the revision of the operators' configuration, which only
+    increases and which every process receives. ``counter`` is one above the
+    highest counter of that revision that the writer has read from the gate.
+    ``writer`` is a small hash of the writer, which distinguishes writers that
+    have read the same counter.
     """
 
     revision: int
@@ -25,22 +26,25 @@
     writer: int = 0
 
     def encode(self):
-        """Return the token as one integer of 63 bits, in the same order."""
-        limits = (
+        """Return the token as an integer of 63 bits that sorts like the token.
+
+        Raises TokenOutOfRange if a field is negative or too large.
+        """
+        values_and_bits = (
             (self.revision, conf.REVISION_BITS),
             (self.counter, conf.COUNTER_BITS),
             (self.writer, conf.WRITER_BITS),
         )
         number = 0
-        for value, bits in limits:
+        for value, bits in values_and_bits:
             if not 0 <= value < 1 << bits:
-                raise NumberExhausted(f'{value} does not fit {bits} bits')
+                raise TokenOutOfRange(f'{value} does not fit into {bits} bits')
             number = number << bits | value
         return number
 
 
 def decode_number(number):
-    """Return the OrderToken with the fencing ``number``."""
+    """Return the OrderToken that the fencing ``number`` encodes."""
     writer = number & (1 << conf.WRITER_BITS) - 1
     number >>= conf.WRITER_BITS
     return OrderToken(
@@ -50,16 +54,16 @@
     )
 
 
-def next_token(*, seen, revision, writer):
-    """Return a token above ``seen``, or None for an outdated writer.
+def next_token(*, highest_token, revision, writer):
+    """Return a token above ``highest_token``, or None for an outdated writer.
 
-    A writer whose configuration is older than the one that ``seen`` was made
-    from gives no order until it has caught up.
+    A writer whose ``revision`` is below that of ``highest_token`` must not
+    give orders until it has received the newer configuration.
     """
-    if seen is None or revision > seen.revision:
+    if highest_token is None or revision > highest_token.revision:
         return OrderToken(revision=revision, counter=1, writer=writer)
-    if revision < seen.revision:
+    if revision < highest_token.revision:
         return None
     return OrderToken(
-        revision=revision, counter=seen.counter + 1, writer=writer
+        revision=revision, counter=highest_token.counter + 1, writer=writer
     )
