--- a/packages/savoryyoke-agent/savoryyoke_agent/balancer.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/balancer.py
@@ -38,7 +38,9 @@
         if shape == self._shape:
             return
         self._shape = shape
-        self._demand = demand.Demand(sets=shape.sets, experts=shape.experts)
+        self._demand = demand.DemandEstimator(
+            sets=shape.sets, experts=shape.experts
+        )
         self.contents.set_shape(shape)
 
     def note_choices(self, choices):
@@ -68,20 +70,22 @@
 
         ``paces`` holds each rank's time over the usual one, by rank.
         """
-        present = self.contents.find(version, ranks=len(paces))
+        present = self.contents.find_experts(version, ranks=len(paces))
         if present is None or self._demand is None:
             return self._keep(version, 'content-unknown')
-        if self.pass_s() < self._policy.least_pass_s:
+        if self.pass_s() < self._policy.min_pass_s:
             return self._keep(version, 'passes-short')
         wanted = self._demand.estimate(now_s=self._clock())
-        if self._demand.shift is not None:
-            logs.write_event('demand_shifted', distance=self._demand.shift)
+        if self._demand.shift_distance is not None:
+            logs.write_event(
+                'demand_shifted', distance=self._demand.shift_distance
+            )
         if wanted is None:
             return self._keep(version, 'demand-unknown')
         if self._is_even(present, wanted, paces):
             return self._keep(version, 'even')
         plan = await self._search(present, wanted, paces)
-        if plan.gain < self._policy.least_gain:
+        if plan.gain < self._policy.min_gain:
             return self._keep(version, 'no-better-map')
         self._kept_because = None
         logs.write_event(
@@ -111,16 +115,16 @@
             for ranks_experts, one in zip(present, wanted, strict=True)
         ]
         mean = sum(peaks) / len(peaks)
-        return 1 - 1 / mean < self._policy.least_gain
+        return 1 - 1 / mean < self._policy.min_gain
 
     async def _search(self, present, wanted, paces):
         slices = planner.plan_in_slices(
             present,
             wanted,
-            paces=paces,
-            places=self._shape.places,
-            spare=self._shape.spare,
-            relief_per_copy=self._policy.relief_per_copy,
+            slowdowns=paces,
+            slots=self._shape.places,
+            max_copies_per_rank=self._shape.spare,
+            min_reduction_per_copy=self._policy.min_reduction_per_copy,
         )
         while True:
             try:
--- a/packages/savoryyoke-agent/savoryyoke_agent/daemon.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/daemon.py
@@ -56,7 +56,7 @@
         self._published_s = clock()
         self._wake = anyio.Event()
         self._balancer = balancer.Balancer(clock=clock)
-        self._choices = demand.ChoicesSum()
+        self._choices = demand.ChoiceCounter()
         self._membership = membership.GroupMembership(
             settings=settings, members=members, read_all=read_all
         )
@@ -238,7 +238,7 @@
             term=term,
             host=self._settings.own_host,
             draw_bits=self._random.getrandbits,
-            knows_map=self._balancer.contents.knows,
+            knows_map=self._balancer.contents.has_map,
             now_s=self._clock(),
             former=self._agent.directive,
         )
@@ -284,7 +284,7 @@
 
     def remember(self, expert_map):
         """Keep a map whose version may come into use."""
-        self._balancer.contents.note_map(expert_map)
+        self._balancer.contents.add_map(expert_map)
 
     async def order_remotely(self, host, order):
         """Order for a rank whose agent is silent, and look at the result."""
@@ -343,7 +343,7 @@
 
     def _complete(self, directive, state):
         """Return a directive with its map, if that is here."""
-        expert_map = self._balancer.contents.find_kept(directive.version)
+        expert_map = self._balancer.contents.find_map(directive.version)
         if expert_map is None:
             self._delivery.note_missing(directive, state)
         return dataclasses.replace(directive, expert_map=expert_map)
@@ -353,7 +353,7 @@
         if state is None or message.group != state.group:
             return
         expert_map = message.expert_map
-        if self._balancer.contents.find_kept(expert_map.version) is not None:
+        if self._balancer.contents.find_map(expert_map.version) is not None:
             return
         self.remember(expert_map)
         self._delivery.pass_on(message, state)
@@ -382,8 +382,8 @@
                 await self._send_held(state, directive)
             counts = await self._engine.read_counts()
             if counts is not None:
-                self._choices.note_counts(counts)
-            choices = self._choices.take()
+                self._choices.add_engine_counts(counts)
+            choices = self._choices.pop_choices()
             if choices is None:
                 continue
             if self._leader is not None:
@@ -425,10 +425,10 @@
     def _note_held(self, report):
         state, contents = self._agent.state, self._balancer.contents
         version = report.held.version
-        if state is None or contents.knows(version):
+        if state is None or contents.has_map(version):
             return
-        contents.note_held(report.rank, report.held, ranks=state.ranks)
-        if contents.knows(version):
+        contents.add_rank_map(report.rank, report.held, ranks=state.ranks)
+        if contents.has_map(version):
             logs.write_event('map_collected', version=version)
 
     async def _report_pace(self):
--- a/packages/savoryyoke-agent/savoryyoke_agent/delivery.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/delivery.py
@@ -97,7 +97,7 @@
 
     def answer(self, request):
         """Queue a map for a rank that asks for it."""
-        expert_map = self._contents.find_kept(request.version)
+        expert_map = self._contents.find_map(request.version)
         if expert_map is None:
             return
         message = group.MapContent(group=request.group, expert_map=expert_map)
--- a/packages/savoryyoke-agent/tests/support.py
+++ b/packages/savoryyoke-agent/tests/support.py
@@ -35,7 +35,7 @@
         self.held = [None] * ranks
         self.mixed = []
         self.hot = 0
-        first_map = planner.make_first_map(
+        first_map = planner.make_initial_map(
             sets=SHAPE.sets, ranks=ranks, experts=SHAPE.experts
         )
         self._experts_by_version = {0: first_map}
--- a/packages/savoryyoke-agent/tests/test_delivery.py
+++ b/packages/savoryyoke-agent/tests/test_delivery.py
@@ -125,7 +125,7 @@
 
     async def test_answers_are_paced_and_not_doubled(self):
         leading = self.build(10)
-        self.contents.note_map(EXPERT_MAP)
+        self.contents.add_map(EXPERT_MAP)
         for _ in range(2):
             for rank in range(4):
                 leading.answer(
--- a/packages/savoryyoke/savoryyoke/groups/balancing/conf.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/conf.py
@@ -8,15 +8,15 @@
     """Hold the conditions under which a new map is proposed.
 
     A new map must shorten the experts' part of a forward pass by the share
-    ``least_gain`` at least. Forward passes must last ``least_pass_s`` at
-    least: for shorter ones callers gain nothing, while copying experts slows
-    passes down. Each copied expert must lower the highest load of its set by
-    ``relief_per_copy`` times the mean demand of a rank.
+    ``min_gain`` at least. Forward passes must last ``min_pass_s`` at least:
+    for shorter ones callers gain nothing, while copying experts slows passes
+    down. Each copied expert must lower the highest load of its set by
+    ``min_reduction_per_copy`` times the mean demand of a rank.
     """
 
-    least_gain: float = 0.3
-    least_pass_s: float = 0.03
-    relief_per_copy: float = 0.08
+    min_gain: float = 0.3
+    min_pass_s: float = 0.03
+    min_reduction_per_copy: float = 0.08
 
 
 # Earlier versions of the map remain available to a newly elected leader.
--- a/packages/savoryyoke/savoryyoke/groups/balancing/contents.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/contents.py
@@ -24,36 +24,36 @@
         self._experts_by_version.clear()
         self._rank_maps_by_rank.clear()
 
-    def knows(self, version):
+    def has_map(self, version):
         """Return whether the map of ``version`` is available."""
         return version == 0 or version in self._experts_by_version
 
-    def find(self, version, *, ranks):
+    def find_experts(self, version, *, ranks):
         """Return the experts by set, rank and slot, or None if unavailable.
 
         ``ranks`` is the number of ranks, which determines the map of version
         0, the one that a group starts with.
         """
         if version == 0 and self._shape is not None:
-            return planner.make_first_map(
+            return planner.make_initial_map(
                 sets=self._shape.sets, ranks=ranks, experts=self._shape.experts
             )
         return self._experts_by_version.get(version)
 
-    def find_kept(self, version):
+    def find_map(self, version):
         """Return the stored ``models.ExpertMap`` of a version, or None."""
         experts = self._experts_by_version.get(version)
         if experts is None:
             return None
         return models.ExpertMap(version=version, experts=experts)
 
-    def note_map(self, expert_map):
+    def add_map(self, expert_map):
         """Store a ``models.ExpertMap`` and discard the oldest if needed."""
         self._experts_by_version[expert_map.version] = expert_map.experts
         while len(self._experts_by_version) > conf.MAX_STORED_MAPS:
             del self._experts_by_version[min(self._experts_by_version)]
 
-    def note_held(self, rank, rank_map, *, ranks):
+    def add_rank_map(self, rank, rank_map, *, ranks):
         """Add the ``models.RankMap`` that a rank has reported.
 
         The map is stored once all ``ranks`` ranks have reported the same
@@ -74,7 +74,7 @@
             same_version_by_rank[reporting_rank].experts
             for reporting_rank in range(ranks)
         ]
-        self.note_map(
+        self.add_map(
             models.ExpertMap(
                 version=rank_map.version,
                 experts=tuple(zip(*experts_by_rank, strict=True)),
--- a/packages/savoryyoke/savoryyoke/groups/balancing/demand.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/demand.py
@@ -9,7 +9,7 @@
 from savoryyoke.groups.balancing import conf
 
 
-class ChoicesSum:
+class ChoiceCounter:
     """Sum up choices of experts between two reports to the leader.
 
     An engine counts choices cumulatively from its start, so a count that is
@@ -20,7 +20,7 @@
         self._engine_counts = None
         self._sum = None
 
-    def note_counts(self, counts):
+    def add_engine_counts(self, counts):
         """Add the increase of the own engine's cumulative counts.
 
         The first counts, and those after a restart of the engine or a change
@@ -43,13 +43,13 @@
         else:
             self._sum = list(map(int.__add__, self._sum, choices))
 
-    def take(self):
+    def pop_choices(self):
         """Return the choices since the last call; None if there are none."""
         choices, self._sum = self._sum, None
         return choices if choices is not None and any(choices) else None
 
 
-class Demand:
+class DemandEstimator:
     """Estimate the demand from the choices of all ranks since its last shift.
 
     Demand stays stable for some seconds and then shifts abruptly. The choices
@@ -66,7 +66,7 @@
         self._recent = collections.deque()
         self._baseline = [0.0] * (sets * experts)
         self._baseline_s = None
-        self.shift = None
+        self.shift_distance = None
 
     def add(self, choices, *, now_s):
         """Add the number of choices of each expert, set by set.
@@ -80,8 +80,8 @@
         """Return the demand by set and expert; None with too few choices.
 
         The demand of each set adds up to 1. If this call detects a shift,
-        ``shift`` is set to the distance between the recent demand and the
-        baseline, from 0 to 1; otherwise it is None.
+        ``shift_distance`` is set to the distance between the recent demand and
+        the baseline, from 0 to 1; otherwise it is None.
         """
         self._move_expired_to_baseline(now_s)
         recent_counts = [0] * len(self._baseline)
@@ -117,7 +117,7 @@
         self._baseline_s = now_s
 
     def _drop_baseline_after_shift(self, recent_counts):
-        self.shift = None
+        self.shift_distance = None
         if not self._is_enough(recent_counts) or not self._is_enough(
             self._baseline
         ):
@@ -134,7 +134,7 @@
         ]
         mean_distance = sum(distances) / len(distances)
         if mean_distance >= conf.MIN_SHIFT_DISTANCE:
-            self.shift = mean_distance
+            self.shift_distance = mean_distance
             self._baseline = [0.0] * len(self._baseline)
 
     def _is_enough(self, counts):
--- a/packages/savoryyoke/savoryyoke/groups/balancing/planner.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/planner.py
@@ -26,7 +26,7 @@
         return 1 - self.peak_after / self.peak_before
 
 
-def make_first_map(*, sets, ranks, experts):
+def make_initial_map(*, sets, ranks, experts):
     """Return the map that a group starts with, by set, rank and slot.
 
     It deals the experts of each set to the ranks in turn.
@@ -38,17 +38,22 @@
 
 
 def plan_in_slices(
-    present_map, demand, *, paces, places, spare, relief_per_copy
+    present_map,
+    demand,
+    *,
+    slowdowns,
+    slots,
+    max_copies_per_rank,
+    min_reduction_per_copy,
 ):
     """Plan a map set by set: yield None after each set, return a ``Plan``.
 
     ``present_map`` holds the experts by set, rank and slot, ``demand`` the
-    demand by set and expert. ``paces`` holds the slowdown of each rank: the
-    time that it takes for its work, divided by the usual time. ``places`` is
-    the number of slots of a rank in a set, ``spare`` the largest number of
-    experts that a rank can copy in a set. Each copied expert must lower the
-    highest load of its set by ``relief_per_copy`` times the mean demand of a
-    rank.
+    demand by set and expert. ``slowdowns`` holds for each rank the time that
+    it takes for its work, divided by the usual time. ``slots`` is the number
+    of experts of a set that a rank can hold, ``max_copies_per_rank`` the
+    number that it can copy. Each copied expert must lower the highest load of
+    its set by ``min_reduction_per_copy`` times the mean demand of a rank.
     """
     planned_sets = []
     peak_sum_before = peak_sum_after = 0.0
@@ -57,14 +62,14 @@
         planned_set = search.balance_set(
             present_set,
             set_demand,
-            slowdowns=paces,
-            slots=places,
-            max_copies_per_rank=spare,
-            min_reduction_per_copy=relief_per_copy,
+            slowdowns=slowdowns,
+            slots=slots,
+            max_copies_per_rank=max_copies_per_rank,
+            min_reduction_per_copy=min_reduction_per_copy,
         )
         copies += search.count_copies(present_set, planned_set)
-        peak_sum_before += search.find_peak(present_set, set_demand, paces)
-        peak_sum_after += search.find_peak(planned_set, set_demand, paces)
+        peak_sum_before += search.find_peak(present_set, set_demand, slowdowns)
+        peak_sum_after += search.find_peak(planned_set, set_demand, slowdowns)
         planned_sets.append(planned_set)
         yield
     return Plan(
--- a/packages/savoryyoke/tests/groups/balancing/test_balancing.py
+++ b/packages/savoryyoke/tests/groups/balancing/test_balancing.py
@@ -24,7 +24,7 @@
 
 def make_initial_set():
     """Return the experts by rank of one set of the initial map."""
-    return planner.make_first_map(sets=1, ranks=RANKS, experts=EXPERTS)[0]
+    return planner.make_initial_map(sets=1, ranks=RANKS, experts=EXPERTS)[0]
 
 
 def balance(
@@ -128,8 +128,8 @@
 
     def test_no_second_change_is_proposed_after_the_first(self):
         no_slowdowns = [1.0] * self.RANKS
-        least_peak_to_change = 1 / (1 - conf.BalancePolicy().least_gain)
-        (present,) = planner.make_first_map(
+        least_peak_to_change = 1 / (1 - conf.BalancePolicy().min_gain)
+        (present,) = planner.make_initial_map(
             sets=1, ranks=self.RANKS, experts=self.EXPERTS
         )
         for seed in range(12):
@@ -160,7 +160,7 @@
     def simulate(self, seed, *, seconds=20.0):
         """Return the mean peak of all ticks and the number of map changes."""
         random_source = random.Random(seed)
-        estimator = demand.Demand(sets=1, experts=EXPERTS)
+        estimator = demand.DemandEstimator(sets=1, experts=EXPERTS)
         present, planned, switch_s = make_initial_set(), None, 0.0
         peaks, changes = [], 0
         for tick in range(round(seconds / self.TICK_S)):
@@ -219,14 +219,16 @@
 
 class PlannerTests(unittest.TestCase):
     def test_plan_reports_its_gain_and_copies(self):
-        present = planner.make_first_map(sets=2, ranks=RANKS, experts=EXPERTS)
+        present = planner.make_initial_map(
+            sets=2, ranks=RANKS, experts=EXPERTS
+        )
         slices = planner.plan_in_slices(
             present,
             [make_skewed_demand(1), make_skewed_demand(2)],
-            paces=NO_SLOWDOWNS,
-            places=SLOTS,
-            spare=MAX_COPIES_PER_RANK,
-            relief_per_copy=0.04,
+            slowdowns=NO_SLOWDOWNS,
+            slots=SLOTS,
+            max_copies_per_rank=MAX_COPIES_PER_RANK,
+            min_reduction_per_copy=0.04,
         )
         steps = 0
         while True:
@@ -242,9 +244,9 @@
         self.assertGreater(plan.copies, 0)
 
 
-class DemandTests(unittest.TestCase):
+class DemandEstimatorTests(unittest.TestCase):
     def setUp(self):
-        self.estimator = demand.Demand(sets=1, experts=2)
+        self.estimator = demand.DemandEstimator(sets=1, experts=2)
         self.now_s = 0.0
         self.shift_distances = []
 
@@ -257,8 +259,8 @@
             self.now_s += 0.1
             self.estimator.add(choices, now_s=self.now_s)
             self.estimator.estimate(now_s=self.now_s)
-            if self.estimator.shift is not None:
-                self.shift_distances.append(self.estimator.shift)
+            if self.estimator.shift_distance is not None:
+                self.shift_distances.append(self.estimator.shift_distance)
 
     def add(self, now_s, choices):
         self.estimator.add(choices, now_s=now_s)
@@ -316,37 +318,37 @@
         self.assertIsNone(self.estimator.estimate(now_s=0.1))
 
 
-class ChoicesSumTests(unittest.TestCase):
+class ChoiceCounterTests(unittest.TestCase):
     def setUp(self):
-        self.counter = demand.ChoicesSum()
+        self.counter = demand.ChoiceCounter()
 
     def test_first_engine_counts_are_not_added(self):
-        self.counter.note_counts((50, 50))
-        self.assertIsNone(self.counter.take())
+        self.counter.add_engine_counts((50, 50))
+        self.assertIsNone(self.counter.pop_choices())
 
     def test_increases_and_reports_are_returned_once(self):
-        self.counter.note_counts((50, 50))
-        self.counter.note_counts((53, 50))
+        self.counter.add_engine_counts((50, 50))
+        self.counter.add_engine_counts((53, 50))
         self.counter.add((0, 4))
-        self.counter.note_counts((54, 51))
-        self.assertEqual([4, 5], self.counter.take())
-        self.assertIsNone(self.counter.take())
+        self.counter.add_engine_counts((54, 51))
+        self.assertEqual([4, 5], self.counter.pop_choices())
+        self.assertIsNone(self.counter.pop_choices())
 
     def test_unchanged_counts_return_none(self):
-        self.counter.note_counts((50, 50))
-        self.counter.note_counts((50, 50))
-        self.assertIsNone(self.counter.take())
+        self.counter.add_engine_counts((50, 50))
+        self.counter.add_engine_counts((50, 50))
+        self.assertIsNone(self.counter.pop_choices())
 
     def test_smaller_counts_of_a_restarted_engine_are_not_added(self):
-        self.counter.note_counts((50000, 50000))
-        self.counter.note_counts((10, 10))
-        self.assertIsNone(self.counter.take())
-        self.counter.note_counts((5010, 10))
-        self.assertEqual([5000, 0], self.counter.take())
+        self.counter.add_engine_counts((50000, 50000))
+        self.counter.add_engine_counts((10, 10))
+        self.assertIsNone(self.counter.pop_choices())
+        self.counter.add_engine_counts((5010, 10))
+        self.assertEqual([5000, 0], self.counter.pop_choices())
 
     def test_counts_of_another_length_are_not_added(self):
-        self.counter.note_counts((5, 5))
-        self.counter.note_counts((7, 7, 7))
-        self.assertIsNone(self.counter.take())
-        self.counter.note_counts((7, 8, 7))
-        self.assertEqual([0, 1, 0], self.counter.take())
+        self.counter.add_engine_counts((5, 5))
+        self.counter.add_engine_counts((7, 7, 7))
+        self.assertIsNone(self.counter.pop_choices())
+        self.counter.add_engine_counts((7, 8, 7))
+        self.assertEqual([0, 1, 0], self.counter.pop_choices())
--- a/packages/savoryyoke/tests/groups/balancing/test_contents.py
+++ b/packages/savoryyoke/tests/groups/balancing/test_contents.py
@@ -34,53 +34,55 @@
         self.contents.set_shape(Shape())
 
     def test_initial_map_needs_no_report(self):
-        self.assertTrue(self.contents.knows(0))
+        self.assertTrue(self.contents.has_map(0))
         self.assertEqual(
-            planner.make_first_map(sets=2, ranks=RANKS, experts=6),
-            self.contents.find(0, ranks=RANKS),
+            planner.make_initial_map(sets=2, ranks=RANKS, experts=6),
+            self.contents.find_experts(0, ranks=RANKS),
         )
 
     def test_map_is_collected_from_all_ranks(self):
         for rank in (2, 0):
-            self.contents.note_held(rank, make_rank_map(rank), ranks=RANKS)
-            self.assertFalse(self.contents.knows(VERSION))
-        self.contents.note_held(1, make_rank_map(1), ranks=RANKS)
-        self.assertTrue(self.contents.knows(VERSION))
-        self.assertEqual(EXPERTS, self.contents.find(VERSION, ranks=RANKS))
+            self.contents.add_rank_map(rank, make_rank_map(rank), ranks=RANKS)
+            self.assertFalse(self.contents.has_map(VERSION))
+        self.contents.add_rank_map(1, make_rank_map(1), ranks=RANKS)
+        self.assertTrue(self.contents.has_map(VERSION))
+        self.assertEqual(
+            EXPERTS, self.contents.find_experts(VERSION, ranks=RANKS)
+        )
 
     def test_reports_of_two_versions_are_not_mixed(self):
-        self.contents.note_held(0, make_rank_map(0, version=6), ranks=RANKS)
+        self.contents.add_rank_map(0, make_rank_map(0, version=6), ranks=RANKS)
         for rank in (1, 2):
-            self.contents.note_held(rank, make_rank_map(rank), ranks=RANKS)
-        self.assertFalse(self.contents.knows(VERSION))
-        self.assertFalse(self.contents.knows(6))
-        self.contents.note_held(0, make_rank_map(0), ranks=RANKS)
-        self.assertTrue(self.contents.knows(VERSION))
+            self.contents.add_rank_map(rank, make_rank_map(rank), ranks=RANKS)
+        self.assertFalse(self.contents.has_map(VERSION))
+        self.assertFalse(self.contents.has_map(6))
+        self.contents.add_rank_map(0, make_rank_map(0), ranks=RANKS)
+        self.assertTrue(self.contents.has_map(VERSION))
 
     def test_report_with_another_number_of_sets_is_ignored(self):
         for rank in range(RANKS):
             mismatched = models.RankMap(version=VERSION, experts=((0, 1),))
-            self.contents.note_held(rank, mismatched, ranks=RANKS)
+            self.contents.add_rank_map(rank, mismatched, ranks=RANKS)
         for rank in (0, 1):
-            self.contents.note_held(rank, make_rank_map(rank), ranks=RANKS)
+            self.contents.add_rank_map(rank, make_rank_map(rank), ranks=RANKS)
         mismatched = models.RankMap(version=VERSION, experts=((0, 1),))
-        self.contents.note_held(2, mismatched, ranks=RANKS)
-        self.assertFalse(self.contents.knows(VERSION))
+        self.contents.add_rank_map(2, mismatched, ranks=RANKS)
+        self.assertFalse(self.contents.has_map(VERSION))
 
     def test_only_the_latest_maps_are_stored(self):
         versions = range(1, conf.MAX_STORED_MAPS + 2)
         for version in versions:
-            self.contents.note_map(
+            self.contents.add_map(
                 models.ExpertMap(version=version, experts=EXPERTS)
             )
         stored_versions = [
-            version for version in versions if self.contents.knows(version)
+            version for version in versions if self.contents.has_map(version)
         ]
         self.assertEqual(list(versions)[1:], stored_versions)
 
     def test_new_shape_discards_all_maps(self):
-        self.contents.note_map(
+        self.contents.add_map(
             models.ExpertMap(version=VERSION, experts=EXPERTS)
         )
         self.contents.set_shape(Shape(experts=12))
-        self.assertFalse(self.contents.knows(VERSION))
+        self.assertFalse(self.contents.has_map(VERSION))
--- a/tools/measure/expert_demand.py
+++ b/tools/measure/expert_demand.py
@@ -101,7 +101,7 @@
 
     def __init__(self, *, workload):
         super().__init__(workload=workload)
-        self._demand = demand.Demand(sets=SETS, experts=EXPERTS)
+        self._demand = demand.DemandEstimator(sets=SETS, experts=EXPERTS)
 
     def note(self, choices, now_s):
         """Take in the choices of all ranks in a tick."""
@@ -157,10 +157,10 @@
     slices = planner.plan_in_slices(
         present,
         wanted,
-        paces=PACES,
-        places=PLACES,
-        spare=SPARE,
-        relief_per_copy=POLICY.relief_per_copy,
+        slowdowns=PACES,
+        slots=PLACES,
+        max_copies_per_rank=SPARE,
+        min_reduction_per_copy=POLICY.min_reduction_per_copy,
     )
     while True:
         try:
@@ -168,14 +168,14 @@
         except StopIteration as stop:
             found = stop.value
             break
-    return found if found.gain >= POLICY.least_gain else None
+    return found if found.gain >= POLICY.min_gain else None
 
 
 def play(policy_class, *, seed):
     """Return the peaks of all ticks, the changes and the copied experts."""
     workload = Workload(seed=seed)
     policy = policy_class(workload=workload)
-    present = planner.make_first_map(sets=SETS, ranks=RANKS, experts=EXPERTS)
+    present = planner.make_initial_map(sets=SETS, ranks=RANKS, experts=EXPERTS)
     following, switch_s = None, 0.0
     peaks, changes, copies = [], 0, 0
     for tick in range(round(SECONDS / TICK_S)):
