--- a/packages/savoryyoke/savoryyoke/groups/balancing/conf.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/conf.py
@@ -19,7 +19,8 @@
     min_reduction_per_copy: float = 0.08
 
 
-# Earlier versions of the map remain available to a newly elected leader.
+# Number of versions of the map that each agent stores, so that they remain
+# available after a change of the leader.
 MAX_STORED_MAPS = 4
 
 # In the users' workload demand shifts every three to four seconds. Between
@@ -27,6 +28,7 @@
 # variation distance of 0.05 to 0.2; across a shift, by 0.35 to 0.5.
 RECENT_WINDOW_S = 0.3
 MIN_SHIFT_DISTANCE = 0.3
+# Time in which earlier choices lose half of their weight.
 BASELINE_HALF_LIFE_S = 4.0
 
 # Fewer choices are too small a sample for the demand of 72 experts.
--- a/packages/savoryyoke/savoryyoke/groups/balancing/contents.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/contents.py
@@ -8,9 +8,9 @@
 class MapContents:
     """Store the latest expert maps by version.
 
-    Agents receive maps with the leader's directives. A leader that was
-    restarted in the meantime reassembles the map in use from the experts that
-    each rank reports.
+    Agents receive maps with the leader's directives. A leader that has lost
+    the map in use by a restart reassembles it from the experts that each rank
+    reports.
     """
 
     def __init__(self):
--- a/packages/savoryyoke/savoryyoke/groups/balancing/demand.py
+++ b/packages/savoryyoke/savoryyoke/groups/balancing/demand.py
@@ -1,7 +1,7 @@
 """Estimate the present demand for each expert.
 
-The demand for an expert is the share of the choices of its set that select
-it. A choice is the selection of an expert for a token.
+The demand for an expert is its share of all choices in its set. A choice is
+the selection of one expert for one token.
 """
 
 import collections
@@ -24,7 +24,7 @@
         """Add the increase of the own engine's cumulative counts.
 
         The first counts, and those after a restart of the engine or a change
-        of its number of experts, only set the base of later increases.
+        of its number of experts, are only the base of later increases.
         """
         previous_counts, self._engine_counts = self._engine_counts, counts
         if previous_counts is None or len(previous_counts) != len(counts):
--- a/packages/savoryyoke/savoryyoke/groups/orders/placement.py
+++ b/packages/savoryyoke/savoryyoke/groups/orders/placement.py
@@ -99,7 +99,7 @@
 
 
 def decide_placement(declaration, own, peers_by_id, *, now_s):
-    """Return the next decision of one target.
+    """Return a Wait, StartDrain, EndDrain or SendOrder for one target.
 
     ``own`` is the TargetView of the target, and ``peers_by_id`` holds those
     of all other targets of the service.
@@ -108,10 +108,10 @@
         return Wait(reason='an order is in progress')
     views_by_id = {**peers_by_id, own.target_id: own}
     roles_by_id = _assign_roles(declaration, views_by_id)
-    wanted_role = roles_by_id[own.target_id]
-    if _matches_declaration(declaration, wanted_role, own):
+    declared_role = roles_by_id[own.target_id]
+    if _matches_declaration(declaration, declared_role, own):
         return _load_missing_adapter(declaration, own, now_s)
-    content, reason = _choose_order_content(declaration, own, wanted_role)
+    content, reason = _choose_order_content(declaration, own, declared_role)
     decision = _send_or_wait(own, content, reason, now_s)
     if isinstance(decision, Wait):
         return _serve_while_waiting(declaration, own, decision)
@@ -132,16 +132,16 @@
     return decision
 
 
-def _finish(own):
+def _end_drain_or_wait(own):
     if own.draining:
         return EndDrain(reason='the declared state is loaded')
     return Wait(reason='the declared state is loaded')
 
 
-def _choose_order_content(declaration, own, wanted_role):
+def _choose_order_content(declaration, own, declared_role):
     if own.version == declaration.version:
-        reason = f'role {wanted_role} is declared, not {own.role}'
-        return messages.ChangeRole(role=wanted_role), reason
+        reason = f'role {declared_role} is declared, not {own.role}'
+        return messages.ChangeRole(role=declared_role), reason
     content = messages.LoadVersion(
         model=declaration.model, version=declaration.version
     )
@@ -152,13 +152,13 @@
 def _serve_while_waiting(declaration, own, wait):
     """Return the decision that keeps the target serving while it waits.
 
-    If no version is loaded and the declared one has failed for good, the
-    former version is loaded again.
+    If no version is loaded and the declared one is given up, the former
+    version is loaded again.
     """
     if own.version is not None:
         return EndDrain(reason=wait.reason) if own.draining else wait
-    has_failed_for_good = wait.retry_at_s is None
-    if not has_failed_for_good or own.former_version in (
+    is_given_up = wait.retry_at_s is None
+    if not is_given_up or own.former_version in (
         None,
         declaration.version,
     ):
@@ -172,7 +172,7 @@
 def _load_missing_adapter(declaration, own, now_s):
     missing = sorted(set(declaration.adapters) - set(own.adapters))
     if not missing:
-        return _finish(own)
+        return _end_drain_or_wait(own)
     adapter, version = missing[0]
     content = messages.LoadAdapter(adapter=adapter, version=version)
     reason = f'adapter {adapter} {version} is declared and not loaded'
@@ -180,6 +180,7 @@
 
 
 def _send_or_wait(own, content, reason, now_s):
+    """Return a SendOrder, or a Wait after failed attempts at this order."""
     failure = own.failure
     if failure is None or failure.content != content:
         return SendOrder(content=content, reason=reason)
@@ -214,15 +215,17 @@
     )
 
 
-def _is_finished(declaration, wanted_role, view):
+def _is_finished(declaration, declared_role, view):
     is_serving = view.ready and not view.draining
-    return is_serving and _matches_declaration(declaration, wanted_role, view)
+    return is_serving and _matches_declaration(
+        declaration, declared_role, view
+    )
 
 
-def _matches_declaration(declaration, wanted_role, view):
+def _matches_declaration(declaration, declared_role, view):
     if view.version != declaration.version:
         return False
-    return wanted_role in (None, view.role)
+    return declared_role in (None, view.role)
 
 
 def _find_position(declaration, target_id):
--- a/packages/savoryyoke/savoryyoke/groups/planning/conf.py
+++ b/packages/savoryyoke/savoryyoke/groups/planning/conf.py
@@ -20,7 +20,7 @@
 
 # Time constants of the exponential means of the loads.
 LOAD_TIME_CONSTANTS_S = (4.0, 15.0, 60.0)
-# How far ahead of a report the estimated loads have to predict the loads.
+# Time ahead for which an estimate has to predict the loads.
 FORECAST_LEAD_S = 20.0
 # Time constant of the mean prediction errors.
 ERROR_TIME_CONSTANT_S = 60.0
@@ -30,7 +30,7 @@
 JUMP_FACTOR = 2.0
 # Shortest time between the starts of two searches.
 PLAN_INTERVAL_S = 4.0
-# Step time, divided by its lower bound, from which on a search is started.
+# A search starts if the step time divided by its lower bound reaches this.
 STEP_TIME_RATIO_MIN = 1.03
 # Share by which a proposed map must make steps faster.
 GAIN_MIN = 0.02
