--- a/packages/savoryyoke/savoryyoke/groups/rollout/__init__.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/__init__.py
@@ -1,8 +1,10 @@
-"""Change the map of a group whose engines switch at an agreed pass.
+"""Change the expert map of a group so that all ranks switch at one pass.
 
-The engines take four orders: prepare a map, arm it for a pass, hold the
-group before a pass, and go on. A ``leader.GroupLeader`` on one rank's VM
-publishes what is wanted; a ``agent.RankAgent`` beside each rank brings its
-own engine there. The group is held before the pass of the switch until every
-rank is known to be armed, so no pass can begin on two maps.
+A pass is one forward pass of the model, run by all ranks together. Engines
+carry out four orders: prepare a map, arm it for a pass, hold the group before
+a pass, and release the hold. A ``leader.GroupLeader`` on one rank's VM
+publishes directives; an ``agent.RankAgent`` on each rank's VM gives its own
+engine the orders that they require. The group is held before the pass of the
+switch until every rank has reported that it is armed, so the ranks never
+begin a pass with different maps.
 """
--- a/packages/savoryyoke/savoryyoke/groups/rollout/agent.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/agent.py
@@ -1,4 +1,4 @@
-"""Bring one rank's engine to what the leader wants."""
+"""Give one rank's engine the orders that the leader's directive requires."""
 
 import dataclasses
 import functools
@@ -9,44 +9,48 @@
 from savoryyoke.groups.rollout import models
 
 _Phase = models.Phase
-_NO_TERM = models.Term(number=0, rank=-1)
+_INITIAL_TERM = models.Term(number=0, rank=-1)
 
 
 class RankAgent:
-    """Own the orders to one engine, one at a time.
+    """Choose the orders to one engine, one at a time.
 
-    Works on the newest directive and the newest state of the engine, so a
-    lost datagram or answer costs a repetition and no more. An order to copy
-    experts is not repeated once the engine has answered it. The directive of
-    an older term is dropped: a leader that wakes up late moves nothing.
+    Orders depend only on the newest directive and the newest state of the
+    engine, so after a lost datagram or answer the order is simply repeated.
+    An order to copy experts is not repeated once the engine has answered it.
+    Directives of an older term are ignored, so a replaced leader that resumes
+    after a pause has no effect.
     """
 
     def __init__(self):
         self._state = None
         self._directive = None
-        self._term = _NO_TERM
+        self._term = _INITIAL_TERM
         self._is_busy = False
-        self._given = None
-        self._settled = None
+        self._last_order = None
+        self._answered_copy_order = None
 
     @property
     def state(self):
-        """Return the newest state of the engine, or None before any."""
+        """Return the engine's newest state; None before the first one."""
         return self._state
 
     @property
     def directive(self):
-        """Return the newest directive, or None before any."""
+        """Return the newest directive; None before the first one."""
         return self._directive
 
     @property
     def term(self):
-        """Return the newest term that the agent follows."""
+        """Return the newest term from which a directive was accepted."""
         return self._term
 
     @functools.singledispatchmethod
     def apply(self, event):
-        """Take in an event and return the next order, or None."""
+        """Process an event and return the next order, or None.
+
+        Raise ``UnknownEvent`` for an event of another type.
+        """
         raise exceptions.UnknownEvent(event=event)
 
     @apply.register
@@ -63,15 +67,16 @@
     @apply.register
     def _(self, event: events.OrderEnded):
         self._is_busy = False
-        is_copy = isinstance(self._given, decisions.Prepare)
+        is_copy = isinstance(self._last_order, decisions.Prepare)
         if is_copy and event.result is not events.OrderResult.UNKNOWN:
-            self._settled = self._given
+            self._answered_copy_order = self._last_order
         return None
 
     def follow(self, directive):
-        """Take over a directive; return whether it is newer than known.
+        """Accept a directive if it is newer; return whether it was accepted.
 
-        Orders follow with the next observation.
+        The orders that it requires are chosen at the next observation of the
+        engine.
         """
         if self._state is not None and directive.group != self._state.group:
             return False
@@ -82,9 +87,10 @@
         return True
 
     def learn_map(self, expert_map):
-        """Complete the directive that names a map.
+        """Add the map to the directive, if the directive has its version.
 
-        Orders follow with the next observation.
+        The orders that it requires are chosen at the next observation of the
+        engine.
         """
         directive = self._directive
         if directive is not None and directive.version == expert_map.version:
@@ -93,27 +99,28 @@
             )
 
     def _is_stale(self, directive):
-        known = self._directive
+        current = self._directive
         return (
-            known is not None
-            and known.term == directive.term
-            and directive.sequence <= known.sequence
+            current is not None
+            and current.term == directive.term
+            and directive.sequence <= current.sequence
         )
 
     def _choose_order(self):
-        if self._is_busy or not self._is_directed():
+        if self._is_busy or not self._has_matching_directive():
             return None
         order = _ORDERS_BY_PHASE[self._directive.phase](
             self._directive, self._state
         )
-        if order is not None and order == self._settled:
-            # The copy shows when it is whole; a second order repeats it.
+        if order is not None and order == self._answered_copy_order:
+            # The engine reports the end of the copy in its state; a second
+            # order would start the copy again.
             return None
         self._is_busy = order is not None
-        self._given = order
+        self._last_order = order
         return order
 
-    def _is_directed(self):
+    def _has_matching_directive(self):
         directive, state = self._directive, self._state
         return (
             directive is not None
@@ -123,12 +130,12 @@
         )
 
 
-def _stay(directive, state):
+def _order_nothing(directive, state):
     return None
 
 
-def _clear(directive, state):
-    """Release a hold that belongs to no change, such as a late order's."""
+def _release_stale_hold(directive, state):
+    """Release a hold of no current change, such as one ordered late."""
     if state.held is None:
         return None
     return decisions.Go(epoch=state.epoch, step=state.held)
@@ -136,12 +143,12 @@
 
 def _prepare(directive, state):
     if state.held is not None:
-        return _clear(directive, state)
+        return _release_stale_hold(directive, state)
     version = directive.version
     if state.prepared == version or state.newest_version >= version:
         return None
     if directive.expert_map is None:
-        # The map is on its way.
+        # The map is sent separately and has not arrived.
         return None
     return decisions.Prepare(
         epoch=state.epoch, expert_map=directive.expert_map
@@ -150,7 +157,7 @@
 
 def _hold(directive, state):
     if state.held not in (None, directive.step):
-        return _clear(directive, state)
+        return _release_stale_hold(directive, state)
     if state.rank != directive.hold_rank or state.held == directive.step:
         return None
     if state.step >= directive.step:
@@ -176,8 +183,8 @@
 
 
 _ORDERS_BY_PHASE = {
-    _Phase.LEARN: _stay,
-    _Phase.IDLE: _clear,
+    _Phase.LEARN: _order_nothing,
+    _Phase.IDLE: _release_stale_hold,
     _Phase.PREPARE: _prepare,
     _Phase.HOLD: _hold,
     _Phase.ARM: _arm,
--- a/packages/savoryyoke/savoryyoke/groups/rollout/blocks.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/blocks.py
@@ -1,8 +1,8 @@
-"""Split the ranks of a large group into blocks that pass messages on.
+"""Split the ranks of a large group into blocks that forward messages.
 
-What all ranks tell the leader, or the leader all ranks, goes through the
-first rank of each block where it is bulky, so that the traffic of one VM
-grows with the square root of the group.
+Large messages between the leader and all ranks go through the head of each
+block, its first rank, so that the traffic of one VM grows with the square
+root of the number of ranks.
 """
 
 import math
@@ -10,25 +10,27 @@
 from savoryyoke.groups.rollout import conf
 
 
-def find_head(rank, ranks):
-    """Return the first rank of a rank's block.
+def find_head(rank, rank_count):
+    """Return the head, that is the first rank, of a rank's block.
 
-    Each rank of a small group is a block of its own.
+    In a small group each rank is a block of its own.
     """
-    return rank - rank % _find_size(ranks)
+    return rank - rank % _compute_block_size(rank_count)
 
 
-def find_heads(ranks):
-    """Return the first ranks of all blocks."""
-    return range(0, ranks, _find_size(ranks))
+def find_heads(rank_count):
+    """Return the heads of all blocks."""
+    return range(0, rank_count, _compute_block_size(rank_count))
 
 
-def find_others(head, ranks):
-    """Return the other ranks of the block that ``head`` is the first of."""
-    return range(head + 1, min(head + _find_size(ranks), ranks))
+def find_others(head, rank_count):
+    """Return the ranks of the block of ``head`` without ``head`` itself."""
+    return range(
+        head + 1, min(head + _compute_block_size(rank_count), rank_count)
+    )
 
 
-def _find_size(ranks):
-    if ranks <= conf.SMALL_GROUP_RANKS:
+def _compute_block_size(rank_count):
+    if rank_count <= conf.SMALL_GROUP_RANKS:
         return 1
-    return math.isqrt(ranks)
+    return math.isqrt(rank_count)
--- a/packages/savoryyoke/savoryyoke/groups/rollout/conf.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/conf.py
@@ -1,33 +1,35 @@
 """Defaults of map changes."""
 
-# Time from the hold to the switch: arming takes one exchange of datagrams and
-# one order, some 20 ms, and observing each 30 ms, so the hold is seldom
-# reached. Passes take 40 to 100 ms, and half a second where a rank is slow.
-SWITCH_AHEAD_S = 0.2
-LEAST_PASSES_AHEAD = 2
-MOST_PASSES_AHEAD = 4
+# Time from the order to hold the group until the switch. Arming takes one
+# exchange of datagrams and one order, about 20 ms, and engines are observed
+# every 30 ms, so passes seldom have to wait for the hold to be released.
+# Passes take 40 to 100 ms, or 500 ms if a rank is slow.
+SWITCH_LEAD_TIME_S = 0.2
+MIN_PASSES_AHEAD = 2
+MAX_PASSES_AHEAD = 4
 
-# A leader is replaced when it has not been heard for this long; the second
-# figure keeps ranks from standing at the same time.
+# A rank becomes leader after this time without a directive, plus the second
+# value times its rank, so that ranks don't all become leaders at once.
 ELECTION_S = 0.5
 ELECTION_PER_RANK_S = 0.1
 
-# An agent that has not been heard for this long is helped by the leader.
-SILENCE_S = 0.4
+# The leader gives orders directly to the engine of an agent that has not
+# reported for this long.
+AGENT_TIMEOUT_S = 0.4
 
-# Copying the most experts that an engine takes at once lasts below half a
-# second; a rank that has not done so by then is stuck.
+# Copying as many experts as an engine accepts at once takes less than 0.5 s;
+# a rank that takes longer than this limit is stuck.
 PREPARE_TIMEOUT_S = 3.0
 
-# An order whose answer is lost is given again after this time; engines
-# answer their own VM within a few milliseconds.
-ORDER_TIMEOUT_S = 0.15
+# The leader repeats its direct orders to engines after this time, as an answer
+# may be lost; engines answer requests of their own VM within a few ms.
+ORDER_RETRY_S = 0.15
 
-# A leader's VM has 4 Mbit/s on the users' grown sites. There a map is 6 KB
-# and a report of counts 5 KB; up to this many ranks they fit beside each
-# other without a detour.
+# Groups of up to this many ranks exchange maps and counts with the leader
+# directly, without blocks. On the largest sites the leader's VM has 4 Mbit/s,
+# a map takes 6 KB and a report of counts 5 KB.
 SMALL_GROUP_RANKS = 16
 
-# Low bits of a map's version are random, so that two leaders never give
-# one version to two maps.
+# The low bits of a map's version are random, so that two leaders don't give
+# the same version to different maps.
 VERSION_RANDOM_BITS = 16
--- a/packages/savoryyoke/savoryyoke/groups/rollout/decisions.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/decisions.py
@@ -15,7 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arm:
-    """Order the engine to switch to a map as pass ``step`` begins."""
+    """Order the engine to switch to a prepared map when ``step`` begins.
+
+    ``step`` is the number of a pass.
+    """
 
     epoch: int
     version: int
@@ -32,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Go:
-    """Order the engine to let the group begin pass ``step``."""
+    """Order the engine to release the hold before pass ``step``."""
 
     epoch: int
     step: int
@@ -40,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OrderRemotely:
-    """Give an order to another rank, whose agent is not heard."""
+    """Give an order to the engine of a rank whose agent does not report."""
 
     host: str
     order: object
@@ -48,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ObserveRemotely:
-    """Read the state of a rank whose agent may not be heard."""
+    """Read the state of a rank's engine, as its agent may not report."""
 
     host: str
 
@@ -62,7 +65,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChangeEnded:
-    """Report how a map change ended, for the log."""
+    """Report how a map change ended, for the log.
+
+    ``took_s`` is the duration of the change.
+    """
 
     version: int
     reason: str
--- a/packages/savoryyoke/savoryyoke/groups/rollout/events.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/events.py
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DirectiveReceived:
-    """Report what a leader wants."""
+    """Report a directive that arrived from a leader."""
 
     directive: models.Directive
 
 
 class OrderResult(enum.Enum):
-    """Say how an order to an engine ended."""
+    """List how an order to an engine may end; UNKNOWN if no answer came."""
 
     DONE = 'done'
     REFUSED = 'refused'
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OrderEnded:
-    """Report the end of the order under way."""
+    """Report the end of the order that was given last."""
 
     result: OrderResult
 
@@ -44,11 +44,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MapProposed:
-    """Ask the leader to change to a map; ``experts`` by set, rank, place."""
+    """Ask the leader to change to a map.
+
+    ``experts`` holds the expert numbers by expert set, rank and slot.
+    """
 
     experts: tuple[tuple[tuple[int, ...], ...], ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TimePassed:
-    """Report that time has passed."""
+    """Report that time has passed, for timeouts and repetitions."""
--- a/packages/savoryyoke/savoryyoke/groups/rollout/leader.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/leader.py
@@ -1,4 +1,4 @@
-"""Lead the map changes of one group."""
+"""Coordinate the map changes of one group."""
 
 import dataclasses
 import functools
@@ -11,29 +11,30 @@
 from savoryyoke.groups.rollout import models
 
 _Phase = models.Phase
-_HOLDING = frozenset({_Phase.HOLD, _Phase.ARM, _Phase.RELEASE})
+_HOLD_PHASES = frozenset({_Phase.HOLD, _Phase.ARM, _Phase.RELEASE})
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Heard:
+class _ReceivedReport:
     report: models.RankReport
-    heard_s: float
+    received_s: float
 
 
 class GroupLeader:
-    """Take a group from one map to the next.
+    """Lead a group through the phases of a map change.
 
     1. PREPARE: every rank copies the experts of the new map.
-    2. HOLD: the leader's rank holds the group before a pass a few ahead.
-       No rank is armed before the hold is confirmed.
-    3. ARM: every rank is armed for that pass. This is never undone: a rank
-       that has prepared the map can always be armed, by its agent or from
-       here. If it dies, the group forms anew and forgets all of it.
+    2. HOLD: the leader's rank holds the group before a pass that is a few
+       passes ahead. No rank is armed before the hold is confirmed.
+    3. ARM: every rank is armed for that pass. Arming is never undone: a rank
+       that has prepared the map can always be armed, by its agent or by the
+       leader directly. If a rank fails, the group is formed again and the
+       change is dropped.
     4. RELEASE: once every rank is armed, the hold is released.
 
-    A new leader first LEARNs: it waits until every other agent follows its
-    term, so nothing of an older leader can follow, and goes on from where
-    the ranks are.
+    A new leader starts in LEARN. It waits until every other agent has
+    accepted its term, after which no order of an older leader can be given,
+    and then resumes the change from the state of the ranks.
     """
 
     def __init__(
@@ -47,12 +48,12 @@
         now_s,
         former=None,
     ):
-        """Start to learn.
+        """Start in phase LEARN.
 
-        ``draw_bits(n)`` returns an integer of n random bits, and
-        ``knows_map(version)`` whether the content of a map is known; if not,
-        the ranks are asked for it. ``former`` is the newest directive of an
-        older term that is known.
+        ``draw_bits(n)`` returns an integer of n random bits.
+        ``knows_map(version)`` returns whether the content of a map is
+        available; if not, the ranks are asked for it. ``former`` is the
+        newest available directive of an older term, or None.
         """
         self._group = group
         self._term = term
@@ -60,18 +61,18 @@
         self._draw_bits = draw_bits
         self._knows_map = knows_map
         self._sequence = 0
-        self._heard_by_rank = {}
+        self._reports_by_rank = {}
         self._phase = _Phase.LEARN
-        self._entered_s = now_s
-        self._started_s = now_s
+        self._phase_started_s = now_s
+        self._change_started_s = now_s
         self._epoch = None
-        self._map = None
+        self._expert_map = None
         self._version = 0
-        self._step = 0
-        self._first_step = 0
+        self._switch_step = 0
+        self._change_first_step = 0
         self._hold_rank = term.rank
-        self._helped_s = now_s
-        self._former = former
+        self._last_intervention_s = now_s
+        self._previous_directive = former
 
     @property
     def term(self):
@@ -85,249 +86,298 @@
 
     @property
     def states_by_rank(self):
-        """Return the newest states of the ranks."""
+        """Return the newest ``EngineState`` of each rank by rank."""
         return {
-            rank: heard.report.state
-            for rank, heard in self._heard_by_rank.items()
+            rank: received.report.state
+            for rank, received in self._reports_by_rank.items()
         }
 
     def is_complete(self, *, now_s):
-        """Return whether all ranks are heard and agree on their group."""
-        states = self._fresh_states(now_s)
+        """Return whether all ranks reported lately and agree.
+
+        They must be open and agree on group, epoch and active map.
+        """
+        states = self._find_fresh_states(now_s)
         if not states or len(states) < states[0].ranks:
             return False
         first = states[0]
         return all(
-            (x.group, x.epoch, x.active, x.is_open)
+            (state.group, state.epoch, state.active, state.is_open)
             == (first.group, first.epoch, first.active, True)
-            for x in states
+            for state in states
         )
 
     @functools.singledispatchmethod
     def apply(self, event, *, now_s):
-        """Take in an event and return a tuple of decisions."""
+        """Process an event and return a tuple of decisions.
+
+        Raise ``UnknownEvent`` for an event of another type.
+        """
         raise exceptions.UnknownEvent(event=event)
 
     @apply.register
     def _(self, event: events.RankReported, *, now_s):
         report = event.report
-        self._heard_by_rank[report.state.rank] = _Heard(
-            report=report, heard_s=now_s
+        self._reports_by_rank[report.state.rank] = _ReceivedReport(
+            report=report, received_s=now_s
         )
         if self._epoch is not None and report.state.epoch > self._epoch:
-            return self._start_over('group formed anew', now_s)
+            return self._restart_learning('group formed anew', now_s)
         return self._advance(now_s)
 
     @apply.register
     def _(self, event: events.MapProposed, *, now_s):
         if self._phase is not _Phase.IDLE or not self.is_complete(now_s=now_s):
             return ()
-        states = self._fresh_states(now_s)
-        if any(x.armed is not None for x in states):
+        states = self._find_fresh_states(now_s)
+        if any(state.armed is not None for state in states):
             return ()
-        newest = max(x.newest_version for x in states)
-        self._version = self._choose_version(newest)
-        self._map = models.ExpertMap(
+        newest_version = max(state.newest_version for state in states)
+        self._version = self._choose_version(newest_version)
+        self._expert_map = models.ExpertMap(
             version=self._version, experts=event.experts
         )
         self._epoch = states[0].epoch
-        self._started_s = now_s
-        self._first_step = self._state_of(self._term.rank).step
-        return self._enter(_Phase.PREPARE, now_s)
+        self._change_started_s = now_s
+        self._change_first_step = self._find_state(self._term.rank).step
+        return self._enter_phase(_Phase.PREPARE, now_s)
 
     @apply.register
     def _(self, event: events.TimePassed, *, now_s):
-        made = self._advance(now_s)
-        return made or (self._publish(),) + self._help(now_s)
+        new_decisions = self._advance(now_s)
+        return new_decisions or (
+            self._publish(),
+        ) + self._order_for_silent_agents(now_s)
 
-    def _choose_version(self, newest):
-        counter = (newest >> conf.VERSION_RANDOM_BITS) + 1
-        low = self._draw_bits(conf.VERSION_RANDOM_BITS)
-        return (counter << conf.VERSION_RANDOM_BITS) + low
+    def _choose_version(self, newest_version):
+        counter = (newest_version >> conf.VERSION_RANDOM_BITS) + 1
+        random_bits = self._draw_bits(conf.VERSION_RANDOM_BITS)
+        return (counter << conf.VERSION_RANDOM_BITS) + random_bits
 
     def _advance(self, now_s):
-        return _STEPS_BY_PHASE[self._phase](self, now_s)
+        return _HANDLERS_BY_PHASE[self._phase](self, now_s)
 
-    def _learn(self, now_s):
-        """Go on from what the ranks hold once all follow this term."""
+    def _recover_change(self, now_s):
+        """Resume from the ranks' states once all have accepted this term."""
         if not self._is_followed():
             return ()
-        states = self._current_states()
-        self._epoch = max(x.epoch for x in states)
-        holder = next((x for x in states if x.held is not None), None)
-        if holder is None:
-            return self._enter(_Phase.IDLE, now_s)
-        self._hold_rank = holder.rank
-        self._step = holder.held
-        self._version = self._find_change(states, holder)
+        states = self._list_states()
+        self._epoch = max(state.epoch for state in states)
+        holding_state = next(
+            (state for state in states if state.held is not None), None
+        )
+        if holding_state is None:
+            return self._enter_phase(_Phase.IDLE, now_s)
+        self._hold_rank = holding_state.rank
+        self._switch_step = holding_state.held
+        self._version = self._find_held_version(states, holding_state)
         if self._version:
-            return self._enter(_Phase.ARM, now_s)
-        return self._enter(_Phase.RELEASE, now_s)
+            return self._enter_phase(_Phase.ARM, now_s)
+        return self._enter_phase(_Phase.RELEASE, now_s)
 
-    def _find_change(self, states, holder):
-        """Return the version that the hold is for; 0 for a stray hold.
+    def _find_held_version(self, states, holding_state):
+        """Return the version that the hold is for; 0 if there is none.
 
-        Every rank had prepared it before the hold, so it can be finished.
+        Every rank had prepared that map before the hold, so the change can
+        be completed.
         """
-        armed = next((x.armed for x in states if x.armed), None)
+        armed = next((state.armed for state in states if state.armed), None)
         if armed is not None:
             return armed
-        former = self._former
-        if former is None or former.epoch != holder.epoch:
+        directive = self._previous_directive
+        if directive is None or directive.epoch != holding_state.epoch:
             return 0
-        if former.phase not in _HOLDING or former.step != holder.held:
+        if (
+            directive.phase not in _HOLD_PHASES
+            or directive.step != holding_state.held
+        ):
             return 0
-        prepared = all(x.prepared == former.version for x in states)
-        return former.version if prepared else 0
+        prepared = all(state.prepared == directive.version for state in states)
+        return directive.version if prepared else 0
 
     def _wait_idle(self, now_s):
         return ()
 
     def _wait_prepared(self, now_s):
-        states = self._current_states()
-        if self._all(states, lambda x: x.prepared == self._version):
-            self._step = max(x.step for x in states) + self._ahead()
+        states = self._list_states()
+        if self._all_ranks(
+            states, lambda state: state.prepared == self._version
+        ):
+            self._switch_step = (
+                max(state.step for state in states)
+                + self._count_passes_ahead()
+            )
             self._hold_rank = self._term.rank
-            return self._enter(_Phase.HOLD, now_s)
-        if now_s - self._entered_s > conf.PREPARE_TIMEOUT_S:
-            return self._end('not prepared in time', now_s)
+            return self._enter_phase(_Phase.HOLD, now_s)
+        if now_s - self._phase_started_s > conf.PREPARE_TIMEOUT_S:
+            return self._end_change('not prepared in time', now_s)
         return ()
 
-    def _ahead(self):
-        """Return how many passes ahead the group switches.
+    def _count_passes_ahead(self):
+        """Return after how many passes the group switches.
 
-        Answers passes that a slow rank makes long: the pace is that since
-        the ranks began to prepare, as the leader's own rank shows it.
+        The number falls as passes get longer, for example because of a slow
+        rank. The duration of a pass is the mean since the start of the
+        change, as observed on the leader's own rank.
         """
-        own = self._heard_by_rank[self._term.rank]
-        passes = own.report.state.step - self._first_step
-        pass_s = (own.heard_s - self._started_s) / max(passes, 1)
-        ahead = math.ceil(conf.SWITCH_AHEAD_S / max(pass_s, 0.001))
-        return min(max(ahead, conf.LEAST_PASSES_AHEAD), conf.MOST_PASSES_AHEAD)
+        received = self._reports_by_rank[self._term.rank]
+        passes = received.report.state.step - self._change_first_step
+        pass_s = (received.received_s - self._change_started_s) / max(
+            passes, 1
+        )
+        passes_ahead = math.ceil(conf.SWITCH_LEAD_TIME_S / max(pass_s, 0.001))
+        return min(
+            max(passes_ahead, conf.MIN_PASSES_AHEAD), conf.MAX_PASSES_AHEAD
+        )
 
     def _wait_held(self, now_s):
-        own = self._state_of(self._hold_rank)
-        if own.held == self._step:
-            return self._enter(_Phase.ARM, now_s)
-        if own.step >= self._step:
-            self._step = own.step + self._ahead()
-            return self._enter(_Phase.HOLD, now_s)
+        hold_state = self._find_state(self._hold_rank)
+        if hold_state.held == self._switch_step:
+            return self._enter_phase(_Phase.ARM, now_s)
+        if hold_state.step >= self._switch_step:
+            self._switch_step = hold_state.step + self._count_passes_ahead()
+            return self._enter_phase(_Phase.HOLD, now_s)
         return ()
 
     def _wait_armed(self, now_s):
-        states = self._current_states()
-        if self._all(states, self._is_armed):
-            return self._enter(_Phase.RELEASE, now_s)
+        states = self._list_states()
+        if self._all_ranks(states, self._is_armed):
+            return self._enter_phase(_Phase.RELEASE, now_s)
         return ()
 
     def _is_armed(self, state):
         return self._version in (state.armed, state.active)
 
     def _wait_released(self, now_s):
-        states = self._current_states()
-        if self._all(states, lambda x: x.active == self._version):
-            return self._end('switched', now_s)
+        states = self._list_states()
+        if self._all_ranks(
+            states, lambda state: state.active == self._version
+        ):
+            return self._end_change('switched', now_s)
         return ()
 
-    def _all(self, states, holds):
-        return len(states) == states[0].ranks and all(map(holds, states))
+    def _all_ranks(self, states, predicate):
+        return len(states) == states[0].ranks and all(map(predicate, states))
+
+    def _order_for_silent_agents(self, now_s):
+        """Give orders to engines whose agents don't report.
 
-    def _help(self, now_s):
-        """Order for agents that are not heard, in phases that can't wait."""
-        if now_s - self._helped_s < conf.ORDER_TIMEOUT_S:
+        Only for the phases that need every rank or the holding rank: ARM and
+        RELEASE. In LEARN, observe the rank of the previous leader instead.
+        """
+        if now_s - self._last_intervention_s < conf.ORDER_RETRY_S:
             return ()
-        self._helped_s = now_s
+        self._last_intervention_s = now_s
         if self._phase is _Phase.LEARN:
             return self._observe_former_leader()
-        silent = [
-            heard.report
-            for heard in self._heard_by_rank.values()
-            if now_s - heard.heard_s > conf.SILENCE_S
+        silent_reports = [
+            received.report
+            for received in self._reports_by_rank.values()
+            if now_s - received.received_s > conf.AGENT_TIMEOUT_S
         ]
-        made = (self._order_for(report) for report in silent)
-        return tuple(x for x in made if x is not None)
+        new_decisions = (
+            self._choose_remote_order(report) for report in silent_reports
+        )
+        return tuple(
+            decision for decision in new_decisions if decision is not None
+        )
 
     def _observe_former_leader(self):
-        if self._excused_rank() is None:
+        if self._find_exempt_rank() is None:
             return ()
-        return (decisions.ObserveRemotely(host=self._former.leader_host),)
+        return (
+            decisions.ObserveRemotely(
+                host=self._previous_directive.leader_host
+            ),
+        )
 
-    def _excused_rank(self):
-        """Return the rank of a former leader that may hold the group.
+    def _find_exempt_rank(self):
+        """Return the rank of a previous leader that may hold the group.
 
-        It alone needs not follow: whatever it still orders concerns the
-        change that this leader finishes.
+        Only that rank need not accept this term: all orders that its agent
+        may still give belong to the change that this leader completes.
         """
-        former = self._former
-        if former is None or former.phase not in _HOLDING:
+        directive = self._previous_directive
+        if directive is None or directive.phase not in _HOLD_PHASES:
             return None
-        return former.hold_rank
+        return directive.hold_rank
 
-    def _order_for(self, report):
+    def _choose_remote_order(self, report):
         if self._phase is _Phase.ARM:
             if report.state.armed == self._version:
                 return None
             order = decisions.Arm(
-                epoch=self._epoch, version=self._version, step=self._step
+                epoch=self._epoch,
+                version=self._version,
+                step=self._switch_step,
             )
         elif self._phase is _Phase.RELEASE:
             if report.state.rank != self._hold_rank:
                 return None
-            order = decisions.Go(epoch=self._epoch, step=self._step)
+            order = decisions.Go(epoch=self._epoch, step=self._switch_step)
         else:
             return None
         return decisions.OrderRemotely(host=report.host, order=order)
 
     def _is_followed(self):
-        """Return whether every rank's agent follows this term."""
-        reports = [heard.report for heard in self._heard_by_rank.values()]
+        """Return whether every rank's agent has accepted this term."""
+        reports = [
+            received.report for received in self._reports_by_rank.values()
+        ]
         if not reports or len(reports) < reports[0].state.ranks:
             return False
-        excused = self._excused_rank()
+        exempt_rank = self._find_exempt_rank()
         return all(
-            x.term == self._term or x.state.rank == excused for x in reports
+            report.term == self._term or report.state.rank == exempt_rank
+            for report in reports
         )
 
-    def _fresh_states(self, now_s):
+    def _find_fresh_states(self, now_s):
+        return [
+            received.report.state
+            for received in self._reports_by_rank.values()
+            if now_s - received.received_s <= conf.AGENT_TIMEOUT_S
+        ]
+
+    def _list_states(self):
         return [
-            heard.report.state
-            for heard in self._heard_by_rank.values()
-            if now_s - heard.heard_s <= conf.SILENCE_S
+            received.report.state
+            for received in self._reports_by_rank.values()
         ]
 
-    def _current_states(self):
-        return [x.report.state for x in self._heard_by_rank.values()]
+    def _find_state(self, rank):
+        return self._reports_by_rank[rank].report.state
 
-    def _state_of(self, rank):
-        return self._heard_by_rank[rank].report.state
+    def _restart_learning(self, reason, now_s):
+        """Drop the change, as the engines lose it when a group is re-formed.
 
-    def _start_over(self, reason, now_s):
-        """Forget the change: a new formation knows nothing of it."""
-        ended = ()
+        Returns to phase LEARN with the reports of the new epoch only.
+        """
+        end_decisions = ()
         if self._phase not in (_Phase.LEARN, _Phase.IDLE):
-            ended = (self._describe_end(reason, now_s),)
-        self._heard_by_rank = {
-            rank: heard
-            for rank, heard in self._heard_by_rank.items()
-            if heard.report.state.epoch > self._epoch
+            end_decisions = (self._describe_end(reason, now_s),)
+        self._reports_by_rank = {
+            rank: received
+            for rank, received in self._reports_by_rank.items()
+            if received.report.state.epoch > self._epoch
         }
         self._epoch = None
-        return ended + self._enter(_Phase.LEARN, now_s)
+        return end_decisions + self._enter_phase(_Phase.LEARN, now_s)
 
-    def _end(self, reason, now_s):
-        ended = (self._describe_end(reason, now_s),)
-        return ended + self._enter(_Phase.IDLE, now_s)
+    def _end_change(self, reason, now_s):
+        end_decisions = (self._describe_end(reason, now_s),)
+        return end_decisions + self._enter_phase(_Phase.IDLE, now_s)
 
     def _describe_end(self, reason, now_s):
         return decisions.ChangeEnded(
             version=self._version,
             reason=reason,
-            took_s=now_s - self._started_s,
+            took_s=now_s - self._change_started_s,
         )
 
-    def _enter(self, phase, now_s):
+    def _enter_phase(self, phase, now_s):
         self._phase = phase
-        self._entered_s = now_s
+        self._phase_started_s = now_s
         return (self._publish(),)
 
     def _publish(self):
@@ -342,23 +392,26 @@
                 phase=self._phase,
                 version=self._version,
                 expert_map=(
-                    self._map if self._phase is _Phase.PREPARE else None
+                    self._expert_map if self._phase is _Phase.PREPARE else None
                 ),
-                step=self._step,
+                step=self._switch_step,
                 hold_rank=self._hold_rank,
-                wants_experts=self._lacks_map(),
+                wants_experts=self._needs_experts(),
             )
         )
 
-    def _lacks_map(self):
-        """Return whether a map in use can't be planned upon."""
+    def _needs_experts(self):
+        """Return whether the content of an active map is unavailable.
+
+        Without it no next map can be planned.
+        """
         return self._phase is _Phase.IDLE and not all(
-            self._knows_map(x.active) for x in self._current_states()
+            self._knows_map(state.active) for state in self._list_states()
         )
 
 
-_STEPS_BY_PHASE = {
-    _Phase.LEARN: GroupLeader._learn,
+_HANDLERS_BY_PHASE = {
+    _Phase.LEARN: GroupLeader._recover_change,
     _Phase.IDLE: GroupLeader._wait_idle,
     _Phase.PREPARE: GroupLeader._wait_prepared,
     _Phase.HOLD: GroupLeader._wait_held,
--- a/packages/savoryyoke/savoryyoke/groups/rollout/models.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/models.py
@@ -1,4 +1,4 @@
-"""What agents and leaders tell each other about a group."""
+"""Data that the agents and leaders of a group exchange."""
 
 import dataclasses
 import enum
@@ -8,10 +8,11 @@
 class EngineState:
     """Hold the state of one rank's engine.
 
-    ``epoch`` numbers the formations of the group. ``step`` is the last
-    pass that was begun. ``active``, ``prepared`` and ``armed`` are versions
-    of maps; ``held`` is the pass that the engine holds the group before.
-    ``pace`` is the time that the engine takes over the usual one.
+    ``epoch`` counts the formations of the group and ``ranks`` is the number
+    of its ranks. ``step`` is the number of the last pass that began.
+    ``active``, ``prepared`` and ``armed`` are versions of maps; ``held`` is
+    the pass before which the engine holds the group. ``pace`` is the ratio of
+    the engine's time for a pass to its usual time.
     """
 
     group: str
@@ -28,13 +29,16 @@
 
     @property
     def newest_version(self):
-        """Return the newest version that the engine is known to have."""
+        """Return the newest of the map versions in this state."""
         return max(self.active, self.prepared or 0, self.armed or 0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, order=True)
 class Term:
-    """Order leaders: the higher number wins, then the higher rank."""
+    """Identify the term of a leader.
+
+    A term with a higher number, or else a higher rank, replaces a lower one.
+    """
 
     number: int
     rank: int
@@ -42,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RankReport:
-    """Report a rank's engine and the newest term that its agent follows."""
+    """Report an engine's state and the newest term its agent has accepted."""
 
     host: str
     state: EngineState
@@ -50,7 +54,7 @@
 
 
 class Phase(enum.Enum):
-    """Name the stages of a map change."""
+    """List the phases of a map change."""
 
     LEARN = 'learn'
     IDLE = 'idle'
@@ -62,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ExpertMap:
-    """Hold the experts by set, rank and place."""
+    """Hold the expert numbers of all ranks by expert set, rank and slot."""
 
     version: int
     experts: tuple[tuple[tuple[int, ...], ...], ...]
@@ -70,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RankMap:
-    """Hold the experts of one rank under a map, by set and place."""
+    """Hold the expert numbers of one rank by expert set and slot."""
 
     version: int
     experts: tuple[tuple[int, ...], ...]
@@ -78,12 +82,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Directive:
-    """Say what a leader wants of every rank.
+    """Tell every rank the phase of the map change and its parameters.
 
-    ``expert_map`` is set while it is prepared. From ``HOLD`` on, ``version``
-    is the map to switch to as pass ``step`` begins, and ``hold_rank`` holds
-    the group before that pass. ``wants_experts`` asks each rank for the
-    experts that it holds.
+    ``expert_map`` is set in phase ``PREPARE`` only. From ``HOLD`` on,
+    ``version`` is the map to switch to when pass ``step`` begins, and the
+    engine of ``hold_rank`` holds the group before that pass.
+    ``wants_experts`` asks each rank to report the experts that it holds.
+    ``sequence`` grows with each directive of a term.
     """
 
     group: str
--- a/packages/savoryyoke/tests/groups/rollout/test_blocks.py
+++ b/packages/savoryyoke/tests/groups/rollout/test_blocks.py
@@ -1,4 +1,4 @@
-"""Test how the ranks of a large group pass messages on."""
+"""Test the blocks through which large groups forward messages."""
 
 import unittest
 
@@ -26,7 +26,7 @@
             for rank in blocks.find_others(head, GROWN_RANKS):
                 self.assertEqual(head, blocks.find_head(rank, GROWN_RANKS))
 
-    def test_small_groups_talk_to_their_leader(self):
+    def test_each_rank_of_a_small_group_is_its_own_block(self):
         for rank in range(conf.SMALL_GROUP_RANKS):
             self.assertEqual(
                 rank, blocks.find_head(rank, conf.SMALL_GROUP_RANKS)
@@ -36,7 +36,7 @@
         for ranks in (GROWN_RANKS, 300, 1000):
             with self.subTest(ranks=ranks):
                 heads = blocks.find_heads(ranks)
-                most = max(
+                largest_block = max(
                     len(blocks.find_others(head, ranks)) for head in heads
                 )
-                self.assertLess(len(heads) + most, 3 * ranks**0.5)
+                self.assertLess(len(heads) + largest_block, 3 * ranks**0.5)
--- a/packages/savoryyoke/tests/groups/rollout/world.py
+++ b/packages/savoryyoke/tests/groups/rollout/world.py
@@ -1,7 +1,7 @@
-"""Play a group, its agents and leaders under random faults.
+"""Simulate a group with its agents and leaders under random faults.
 
-The engines follow the platform's four orders. A pass begins on all ranks at
-once; the world notes each pass on which two ranks have different maps.
+The engines carry out the platform's four orders. A pass begins on all ranks
+at once; the simulation records each pass that began with different maps.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 
 
 class Engine:
-    """Follow the published rules of one rank's engine."""
+    """Simulate the platform's rules for one rank's engine."""
 
     def __init__(self, *, rank, ranks):
         self.rank = rank
@@ -28,16 +28,16 @@
         self.epoch = 1
         self.step = 0
         self.active = 0
-        self.content = 'first'
+        self.active_content = 'first'
         self.prepared = None
         self.prepared_content = None
         self.copying = None
         self.armed = None
         self.held = None
-        self.newest = 0
+        self.newest_version = 0
 
     def observe(self):
-        """Return the state as the report shows it."""
+        """Return the state that the engine reports."""
         return models.EngineState(
             group='g',
             epoch=self.epoch,
@@ -51,31 +51,31 @@
             held=self.held,
         )
 
-    def give(self, order, now_s):
-        """Carry an order out; return whether it was accepted."""
+    def execute(self, order, now_s):
+        """Carry out an order; return whether it was accepted."""
         if order.epoch != self.epoch:
             return False
-        return _GIVE_BY_CLASS[type(order)](self, order, now_s)
+        return _EXECUTE_BY_CLASS[type(order)](self, order, now_s)
 
     def advance(self, now_s):
-        """End a copy whose time has come."""
+        """Complete a copy whose duration has passed."""
         if self.copying is not None and now_s >= self.copying[0]:
             _, self.prepared, self.prepared_content = self.copying
             self.copying = None
 
-    def begin(self, step):
-        """Begin a pass, switching if armed for it."""
+    def begin_pass(self, step):
+        """Begin a pass and switch maps if the engine is armed for it."""
         self.step = step
         if self.armed is not None and self.armed[1] == step:
             self.active = self.armed[0]
-            self.content = self.prepared_content
+            self.active_content = self.prepared_content
             self.armed = None
 
     def _prepare(self, order, now_s):
         version = order.expert_map.version
-        if version <= self.newest or self.armed is not None:
+        if version <= self.newest_version or self.armed is not None:
             return False
-        self.newest = version
+        self.newest_version = version
         self.prepared = None
         self.copying = (now_s + COPY_S, version, order.expert_map.experts)
         return True
@@ -100,7 +100,7 @@
         return True
 
 
-_GIVE_BY_CLASS = {
+_EXECUTE_BY_CLASS = {
     decisions.Prepare: Engine._prepare,
     decisions.Arm: Engine._arm,
     decisions.Hold: Engine._hold,
@@ -110,11 +110,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Process:
-    """Hold the process beside one rank."""
+    """Hold the agent process of one rank and, on one rank, the leader."""
 
     agent: object
     leader: object = None
-    directed_s: float = 0.0
+    directive_received_s: float = 0.0
     published_s: float = 0.0
     frozen_until_s: float = 0.0
     inbox: list = dataclasses.field(default_factory=list)
@@ -122,23 +122,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Faults:
-    """Say how often things go wrong.
+    """Set the shares and rates of faults.
 
-    ``lost`` is the share of datagrams lost, ``late`` the share of orders
-    that get no answer and are carried out later. Freezes and restarts come
-    so many times a second over all processes.
+    ``datagram_loss_share`` is the share of lost datagrams,
+    ``late_order_share`` the share of orders that are carried out late and
+    without an answer, and ``idle_pass_share`` the share of pass times at which
+    no pass begins. The rates of freezes and restarts are totals over all
+    processes.
     """
 
-    lost: float = 0.0
-    late: float = 0.0
+    datagram_loss_share: float = 0.0
+    late_order_share: float = 0.0
     freezes_per_s: float = 0.0
     leader_freezes_per_s: float = 0.0
     restarts_per_s: float = 0.0
-    idle: float = 0.0
+    idle_pass_share: float = 0.0
 
 
 class World:
-    """Own the group, the processes, the network and the time."""
+    """Simulate the group, its processes, the network and the clock."""
 
     def __init__(
         self,
@@ -155,8 +157,10 @@
         self.now_s = 0.0
         self._agent_class = agent_class
         self._leader_class = leader_class
-        self.engines = [Engine(rank=r, ranks=ranks) for r in range(ranks)]
-        self.processes = [self._start() for _ in range(ranks)]
+        self.engines = [
+            Engine(rank=rank, ranks=ranks) for rank in range(ranks)
+        ]
+        self.processes = [self._start_process() for _ in range(ranks)]
         self._late_orders = []
         self._pass_s = pass_s
         self._next_pass_s = pass_s
@@ -167,20 +171,22 @@
         self._proposals = 0
 
     def run(self, duration_s):
-        """Let time pass."""
-        ends_s = self.now_s + duration_s
-        while self.now_s < ends_s:
+        """Simulate ``duration_s`` seconds in ticks of ``TICK_S``."""
+        end_s = self.now_s + duration_s
+        while self.now_s < end_s:
             self.now_s += TICK_S
-            self._strike()
+            self._inject_faults()
             self._carry_out_late_orders()
             self._begin_pass()
             for rank in range(len(self.processes)):
-                self._work(rank)
+                self._run_process(rank)
 
-    def _start(self):
-        return Process(agent=self._agent_class(), directed_s=self.now_s)
+    def _start_process(self):
+        return Process(
+            agent=self._agent_class(), directive_received_s=self.now_s
+        )
 
-    def _strike(self):
+    def _inject_faults(self):
         faults = self.faults
         if self.random.random() < faults.freezes_per_s * TICK_S:
             self._freeze(self.random.choice(self.processes))
@@ -190,18 +196,22 @@
                     self._freeze(process)
         if self.random.random() < faults.restarts_per_s * TICK_S:
             rank = self.random.randrange(len(self.processes))
-            self.processes[rank] = self._start()
+            self.processes[rank] = self._start_process()
             self.processes[rank].frozen_until_s = self.now_s + 1.0
 
     def _freeze(self, process):
-        span_s = self.random.choice((0.2, 1.0, 4.0))
-        process.frozen_until_s = self.now_s + span_s
+        freeze_s = self.random.choice((0.2, 1.0, 4.0))
+        process.frozen_until_s = self.now_s + freeze_s
 
     def _carry_out_late_orders(self):
-        due = [x for x in self._late_orders if x[0] <= self.now_s]
-        self._late_orders = [x for x in self._late_orders if x not in due]
-        for _, rank, order in due:
-            self.engines[rank].give(order, self.now_s)
+        due_orders = [
+            late for late in self._late_orders if late[0] <= self.now_s
+        ]
+        self._late_orders = [
+            late for late in self._late_orders if late not in due_orders
+        ]
+        for _, rank, order in due_orders:
+            self.engines[rank].execute(order, self.now_s)
 
     def _begin_pass(self):
         for engine in self.engines:
@@ -209,69 +219,79 @@
         if self.now_s < self._next_pass_s:
             return
         step = self.engines[0].step + 1
-        if any(x.held == step for x in self.engines):
-            self._note_held()
+        if any(engine.held == step for engine in self.engines):
+            self._record_hold_duration()
             return
         self._held_since_s = None
         self._next_pass_s = self.now_s + self._pass_s
-        if self.random.random() < self.faults.idle:
+        if self.random.random() < self.faults.idle_pass_share:
             return
-        before = self.engines[0].active
+        previous_version = self.engines[0].active
         for engine in self.engines:
-            engine.begin(step)
-        if len({(x.active, x.content) for x in self.engines}) > 1:
+            engine.begin_pass(step)
+        if (
+            len(
+                {
+                    (engine.active, engine.active_content)
+                    for engine in self.engines
+                }
+            )
+            > 1
+        ):
             self.mixed_passes.append(step)
-        self.switches += before != self.engines[0].active
+        self.switches += previous_version != self.engines[0].active
 
-    def _note_held(self):
+    def _record_hold_duration(self):
         if self._held_since_s is None:
             self._held_since_s = self.now_s
         held_s = self.now_s - self._held_since_s
         self.longest_held_s = max(self.longest_held_s, held_s)
 
-    def _work(self, rank):
+    def _run_process(self, rank):
         process = self.processes[rank]
         if self.now_s < process.frozen_until_s:
             return
         inbox, process.inbox = process.inbox, []
         for message in inbox:
-            self._take(rank, message)
+            self._receive(rank, message)
         state = self.engines[rank].observe()
-        self._order(
+        self._process_order(
             rank, process.agent.apply(events.EngineObserved(state=state))
         )
-        self._report(rank)
-        self._lead(rank)
+        self._send_report(rank)
+        self._run_leader(rank)
 
-    def _take(self, rank, message):
+    def _receive(self, rank, message):
         process = self.processes[rank]
         if isinstance(message, models.RankReport):
             if process.leader is not None:
-                self._lead_with(rank, events.RankReported(report=message))
+                self._apply_to_leader(
+                    rank, events.RankReported(report=message)
+                )
             return
         if message.term < process.agent.term:
             return
-        process.directed_s = self.now_s
+        process.directive_received_s = self.now_s
         if process.leader is not None and (message.term > process.leader.term):
             process.leader = None
         process.agent.follow(message)
 
-    def _order(self, rank, order):
+    def _process_order(self, rank, order):
         if order is None:
             return
-        result = self._give(rank, order)
+        result = self._send_order(rank, order)
         self.processes[rank].agent.apply(events.OrderEnded(result=result))
 
-    def _give(self, rank, order):
-        if self.random.random() < self.faults.late:
+    def _send_order(self, rank, order):
+        if self.random.random() < self.faults.late_order_share:
             delay_s = self.random.uniform(2, 12)
             self._late_orders.append((self.now_s + delay_s, rank, order))
             return events.OrderResult.UNKNOWN
-        if self.engines[rank].give(order, self.now_s):
+        if self.engines[rank].execute(order, self.now_s):
             return events.OrderResult.DONE
         return events.OrderResult.REFUSED
 
-    def _report(self, rank):
+    def _send_report(self, rank):
         process = self.processes[rank]
         directive = process.agent.directive
         if directive is None:
@@ -282,15 +302,15 @@
             term=process.agent.term,
         )
         if process.leader is not None:
-            self._lead_with(rank, events.RankReported(report=report))
+            self._apply_to_leader(rank, events.RankReported(report=report))
         else:
             self._send(int(directive.leader_host), report)
 
-    def _lead(self, rank):
+    def _run_leader(self, rank):
         process = self.processes[rank]
         if process.leader is None:
             wait_s = conf.ELECTION_S + rank * conf.ELECTION_PER_RANK_S
-            if self.now_s - process.directed_s < wait_s:
+            if self.now_s - process.directive_received_s < wait_s:
                 return
             process.leader = self._leader_class(
                 group='g',
@@ -305,29 +325,29 @@
             )
         if self.now_s - process.published_s >= 3 * TICK_S:
             process.published_s = self.now_s
-            self._lead_with(rank, events.TimePassed())
+            self._apply_to_leader(rank, events.TimePassed())
         if process.leader is not None and process.leader.phase is (
             models.Phase.IDLE
         ):
             self._proposals += 1
-            self._lead_with(
+            self._apply_to_leader(
                 rank,
                 events.MapProposed(experts=(((self._proposals,),),)),
             )
 
-    def _lead_with(self, rank, event):
+    def _apply_to_leader(self, rank, event):
         process = self.processes[rank]
         if process.leader is None:
             return
         for decision in process.leader.apply(event, now_s=self.now_s):
-            self._act(rank, decision)
+            self._carry_out(rank, decision)
 
-    def _act(self, rank, decision):
+    def _carry_out(self, rank, decision):
         match decision:
             case decisions.Publish(directive=directive):
                 self._publish(rank, directive)
             case decisions.OrderRemotely(host=host, order=order):
-                self._give(int(host), order)
+                self._send_order(int(host), order)
                 self._observe_remotely(rank, host)
             case decisions.ObserveRemotely(host=host):
                 self._observe_remotely(rank, host)
@@ -337,11 +357,11 @@
         if directive.term < process.agent.term:
             process.leader = None
             return
-        process.directed_s = self.now_s
-        for other in range(len(self.processes)):
-            if other != rank:
-                self._send(other, directive)
-        self._order(
+        process.directive_received_s = self.now_s
+        for other_rank in range(len(self.processes)):
+            if other_rank != rank:
+                self._send(other_rank, directive)
+        self._process_order(
             rank,
             process.agent.apply(events.DirectiveReceived(directive=directive)),
         )
@@ -352,8 +372,8 @@
             state=self.engines[int(host)].observe(),
             term=models.Term(number=0, rank=-1),
         )
-        self._lead_with(rank, events.RankReported(report=report))
+        self._apply_to_leader(rank, events.RankReported(report=report))
 
     def _send(self, rank, message):
-        if self.random.random() >= self.faults.lost:
+        if self.random.random() >= self.faults.datagram_loss_share:
             self.processes[rank].inbox.append(message)
