--- a/packages/savoryyoke/savoryyoke/groups/switching/conf.py
+++ b/packages/savoryyoke/savoryyoke/groups/switching/conf.py
@@ -1,6 +1,6 @@
-"""Defaults of map changes, in one place."""
+"""Defaults of map changes."""
 
-CONCURRENT_LOADS = 8
-RESEND_AFTER_S = 0.5
+MAX_CONCURRENT_LOADS = 8
+RESEND_INTERVAL_S = 0.5
 LOAD_TIMEOUT_S = 120.0
 OFFER_TIMEOUT_S = 180.0
--- a/packages/savoryyoke/savoryyoke/groups/switching/decisions.py
+++ b/packages/savoryyoke/savoryyoke/groups/switching/decisions.py
@@ -9,7 +9,7 @@
 class LoadMap:
     """Order the engine to load a map into its spare memory.
 
-    The engine refuses the order in any other generation than this one.
+    The engine refuses the order if it is in another generation.
     """
 
     identity: identities.MapIdentity
@@ -18,28 +18,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OfferMap:
-    """Order the engine to put the map in spare memory into its words."""
+    """Order the engine to offer the map in spare memory at each step."""
 
     identity: identities.MapIdentity
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WithdrawMap:
-    """Order the engine to leave the map out of its words."""
+    """Order the engine to stop offering the map."""
 
     identity: identities.MapIdentity
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AnswerDriver:
-    """Send the agent's state to the driver with ``driver_nonce``."""
+    """Send the agent's state to the driver with ``driver_nonce``.
+
+    ``events.AgentAnswered`` has the same fields.
+    """
 
     driver_nonce: int
     generation: identities.Generation | None
-    highest: identities.ChangeToken | None
+    newest_token: identities.ChangeToken | None
     active: identities.MapIdentity | None
-    offering: identities.MapIdentity | None
-    failed: identities.MapIdentity | None
+    offered_map: identities.MapIdentity | None
+    failed_map: identities.MapIdentity | None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -69,11 +72,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChangeEnded:
-    """Report how a change ended, for the log line.
+    """Report how a change ended, for the log.
 
-    ``switched`` is true only if an engine was seen with the new map. A change
-    that was given up on may have taken place unseen; the map in force is
-    always the one that the ranks report.
+    ``switched`` is true only if an engine reported the new map as active. An
+    abandoned change may have taken place without such a report; the active
+    map is always the one that the ranks report.
     """
 
     identity: identities.MapIdentity
--- a/packages/savoryyoke/savoryyoke/groups/switching/driver.py
+++ b/packages/savoryyoke/savoryyoke/groups/switching/driver.py
@@ -1,4 +1,4 @@
-"""Drive map changes from the process beside a group's rank 0."""
+"""Coordinate map changes from the process beside a group's rank 0."""
 
 import dataclasses
 import enum
@@ -12,7 +12,11 @@
 
 
 class DriverPhase(enum.Enum):
-    """Say what the driver is waiting for."""
+    """List the phases of the driver.
+
+    STOPPED while the group does not run, LEARNING while the driver reads the
+    state of all ranks.
+    """
 
     STOPPED = 'stopped'
     LEARNING = 'learning'
@@ -22,45 +26,48 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DriverState:
-    """Hold all that the driver knows.
+    """Hold the driver's state.
 
-    ``answers`` holds each rank's newest answer or None, by rank. ``queued``
-    is the digest of a map that waits until the driver has learnt its order,
-    ``asked`` the ranks that were asked to prepare since the last repeat.
+    ``answers`` holds each rank's newest answer or None, by rank.
+    ``driver_order`` goes into the driver's tokens, see ``ChangeToken``, and
+    ``epoch`` counts its changes. ``queued_digest`` is the digest of the map
+    to change to once the driver is idle. ``requested_ranks`` are the ranks
+    that were asked to prepare since requests were last repeated.
     """
 
     nonce: int
     phase: DriverPhase = DriverPhase.STOPPED
     generation: identities.Generation | None = None
     answers: tuple = ()
-    order: int = 0
+    driver_order: int = 0
     epoch: int = 0
     change: identities.MapIdentity | None = None
-    asked: frozenset = frozenset()
-    queued: int | None = None
+    requested_ranks: frozenset = frozenset()
+    queued_digest: int | None = None
     deadline_s: float = 0.0
     resend_at_s: float = 0.0
 
 
 class GroupDriver:
-    """Ask the ranks of one group to prepare a map, and report the end.
+    """Ask the ranks of one group to prepare a map, and report the result.
 
-    Safety does not rest on the driver: the ranks' collective decides the
-    switch. Several drivers at once delay each other's changes at worst.
+    Safety does not depend on the driver, as the collective of the ranks
+    decides on the switch. Several drivers at a time can only delay each
+    other's changes.
     """
 
     def __init__(
         self,
         *,
         nonce=None,
-        concurrent_loads=conf.CONCURRENT_LOADS,
-        resend_after_s=conf.RESEND_AFTER_S,
+        max_concurrent_loads=conf.MAX_CONCURRENT_LOADS,
+        resend_interval_s=conf.RESEND_INTERVAL_S,
         load_timeout_s=conf.LOAD_TIMEOUT_S,
         state=None,
     ):
-        """Start stopped; ``nonce`` is random for each process."""
-        self._concurrent_loads = concurrent_loads
-        self._resend_after_s = resend_after_s
+        """Start in phase STOPPED; ``nonce`` is random for each process."""
+        self._max_concurrent_loads = max_concurrent_loads
+        self._resend_interval_s = resend_interval_s
         self._load_timeout_s = load_timeout_s
         self._state = state or DriverState(nonce=nonce)
 
@@ -71,30 +78,41 @@
 
     @functools.singledispatchmethod
     def apply(self, event, *, now_s):
-        """Take in ``event`` and return a tuple of decisions."""
+        """Process ``event`` and return a tuple of decisions.
+
+        Raise ``UnknownEvent`` for an event of another type.
+        """
         raise exceptions.UnknownEvent(event=event)
 
     @apply.register
     def _(self, event: events.GroupFormed, *, now_s):
-        ended = self._end(switched=False, reason='group formed anew')
+        end_decisions = self._end_change(
+            switched=False, reason='group formed anew'
+        )
         self._update(
             generation=event.generation,
             answers=(None,) * event.ranks,
             epoch=0,
         )
-        return ended + self._learn(now_s)
+        return end_decisions + self._start_learning(now_s)
 
     @apply.register
     def _(self, event: events.GroupStopped, *, now_s):
-        ended = self._end(switched=False, reason='group stopped')
-        self._update(phase=DriverPhase.STOPPED, generation=None, queued=None)
-        return ended
+        end_decisions = self._end_change(
+            switched=False, reason='group stopped'
+        )
+        self._update(
+            phase=DriverPhase.STOPPED, generation=None, queued_digest=None
+        )
+        return end_decisions
 
     @apply.register
     def _(self, event: events.MapProposed, *, now_s):
-        ended = self._end(switched=False, reason='overtaken')
-        self._update(queued=event.digest)
-        return ended + self._start_queued(now_s)
+        end_decisions = self._end_change(
+            switched=False, reason='replaced by a newer map'
+        )
+        self._update(queued_digest=event.digest)
+        return end_decisions + self._start_queued(now_s)
 
     @apply.register
     def _(self, event: events.AgentAnswered, *, now_s):
@@ -111,33 +129,33 @@
         if state.phase is DriverPhase.LEARNING:
             return self._finish_learning(now_s)
         if state.phase is DriverPhase.CHANGING:
-            return self._judge(event, now_s)
+            return self._evaluate_answer(event, now_s)
         return ()
 
     @apply.register
     def _(self, event: events.TimePassed, *, now_s):
         state = self._state
         if state.phase is DriverPhase.CHANGING and now_s > state.deadline_s:
-            return self._abandon('timed out')
+            return self._abandon_change('timed out')
         if now_s < state.resend_at_s:
             return ()
-        self._update(resend_at_s=now_s + self._resend_after_s)
+        self._update(resend_at_s=now_s + self._resend_interval_s)
         if state.phase is DriverPhase.LEARNING:
-            return self._query()
+            return self._query_missing_ranks()
         if state.phase is DriverPhase.CHANGING:
-            self._update(asked=frozenset())
+            self._update(requested_ranks=frozenset())
             return self._prepare()
         return ()
 
-    def _learn(self, now_s):
+    def _start_learning(self, now_s):
         self._update(
             phase=DriverPhase.LEARNING,
             answers=(None,) * len(self._state.answers),
-            resend_at_s=now_s + self._resend_after_s,
+            resend_at_s=now_s + self._resend_interval_s,
         )
-        return self._query()
+        return self._query_missing_ranks()
 
-    def _query(self):
+    def _query_missing_ranks(self):
         return tuple(
             decisions.QueryRank(
                 rank=rank,
@@ -151,84 +169,96 @@
     def _finish_learning(self, now_s):
         if None in self._state.answers:
             return ()
-        orders = [
-            answer.highest.driver_order
+        driver_orders = [
+            answer.newest_token.driver_order
             for answer in self._state.answers
-            if answer.highest is not None
+            if answer.newest_token is not None
         ]
         self._update(
-            phase=DriverPhase.IDLE, order=1 + max(orders, default=0), epoch=0
+            phase=DriverPhase.IDLE,
+            driver_order=1 + max(driver_orders, default=0),
+            epoch=0,
         )
         return self._start_queued(now_s)
 
     def _start_queued(self, now_s):
         state = self._state
-        if state.phase is not DriverPhase.IDLE or state.queued is None:
+        if state.phase is not DriverPhase.IDLE or state.queued_digest is None:
             return ()
         token = identities.ChangeToken(
             generation=state.generation,
-            driver_order=state.order,
+            driver_order=state.driver_order,
             driver_nonce=state.nonce,
             epoch=state.epoch + 1,
         )
-        change = identities.MapIdentity(digest=state.queued, token=token)
+        change = identities.MapIdentity(
+            digest=state.queued_digest, token=token
+        )
         self._update(
             phase=DriverPhase.CHANGING,
             change=change,
-            asked=frozenset(),
-            queued=None,
+            requested_ranks=frozenset(),
+            queued_digest=None,
             epoch=token.epoch,
             deadline_s=now_s + self._load_timeout_s,
-            resend_at_s=now_s + self._resend_after_s,
+            resend_at_s=now_s + self._resend_interval_s,
         )
         return self._prepare()
 
     def _prepare(self):
-        """Ask the next ranks that do not offer the map yet.
+        """Request the map of the next ranks that do not offer it yet.
 
-        Their number is bounded, since all of them load from one rate-limited
-        store. Ranks are asked once between two repeats.
+        Their number is limited, as all of them load from one rate-limited
+        store. Each rank gets one request per resend interval.
         """
-        waiting = [
+        unprepared_ranks = [
             rank
             for rank, answer in enumerate(self._state.answers)
-            if answer is None or answer.offering != self._state.change
+            if answer is None or answer.offered_map != self._state.change
+        ]
+        allowed_ranks = unprepared_ranks[: self._max_concurrent_loads]
+        new_ranks = [
+            rank
+            for rank in allowed_ranks
+            if rank not in self._state.requested_ranks
         ]
-        admitted = waiting[: self._concurrent_loads]
-        due = [rank for rank in admitted if rank not in self._state.asked]
-        self._update(asked=self._state.asked.union(due))
+        self._update(
+            requested_ranks=self._state.requested_ranks.union(new_ranks)
+        )
         return tuple(
             decisions.PrepareRank(rank=rank, identity=self._state.change)
-            for rank in due
+            for rank in new_ranks
         )
 
-    def _judge(self, answer, now_s):
+    def _evaluate_answer(self, answer, now_s):
         change = self._state.change
         if answer.active == change:
-            return self._end(switched=True, reason='switched')
-        if answer.failed == change:
-            return self._abandon(f'rank {answer.rank} could not load')
-        if self._is_outranked(answer):
-            ended = self._end(switched=False, reason='outranked')
-            return ended + self._learn(now_s)
-        if answer.offering == change:
+            return self._end_change(switched=True, reason='switched')
+        if answer.failed_map == change:
+            return self._abandon_change(f'rank {answer.rank} could not load')
+        if self._is_superseded(answer):
+            end_decisions = self._end_change(
+                switched=False, reason='superseded by another driver'
+            )
+            return end_decisions + self._start_learning(now_s)
+        if answer.offered_map == change:
             return self._prepare()
         return ()
 
-    def _is_outranked(self, answer):
-        if answer.highest is None:
+    def _is_superseded(self, answer):
+        if answer.newest_token is None:
             return False
-        return answer.highest.position > self._state.change.token.position
+        return answer.newest_token.sort_key > self._state.change.token.sort_key
 
-    def _abandon(self, reason):
+    def _abandon_change(self, reason):
         change = self._state.change
         abandons = tuple(
             decisions.AbandonRank(rank=rank, identity=change)
             for rank in range(len(self._state.answers))
         )
-        return abandons + self._end(switched=False, reason=reason)
+        return abandons + self._end_change(switched=False, reason=reason)
 
-    def _end(self, *, switched, reason):
+    def _end_change(self, *, switched, reason):
         change = self._state.change
         if change is None:
             return ()
--- a/packages/savoryyoke/savoryyoke/groups/switching/engines.py
+++ b/packages/savoryyoke/savoryyoke/groups/switching/engines.py
@@ -1,7 +1,8 @@
-"""Model the part of an engine rank that map changes rely on.
+"""Model the part of an engine rank that takes part in map changes.
 
-Adapters of engines keep to this behaviour; stand-ins embed it. It trusts its
-agent: a load overwrites spare memory whatever is in it.
+Adapters of real engines must behave in the same way; simulated engines use
+this class. It does not check its agent's orders to load: a load overwrites
+spare memory whatever its content.
 """
 
 import dataclasses
@@ -16,8 +17,11 @@
 class EngineState:
     """Hold the state of one engine rank.
 
-    ``word`` is the word under way in the present step's collective,
-    ``withdrawing`` the offer whose withdrawal waits for that word.
+    ``active``, ``spare`` and ``loading`` are the maps in active memory, in
+    spare memory and being loaded into spare memory. ``offer`` is the map to
+    offer from the next step on. ``word`` is the rank's contribution to the
+    collective of the current step while that runs, and ``withdrawing`` the
+    offer whose withdrawal is answered after it.
     """
 
     rank: int
@@ -28,12 +32,15 @@
     spare: identities.MapIdentity | None = None
     loading: identities.MapIdentity | None = None
     offer: identities.MapIdentity | None = None
-    word: barrier.StepWord | None = None
+    word: barrier.StepContribution | None = None
     withdrawing: identities.MapIdentity | None = None
 
 
 class RankEngine:
-    """Run steps and carry out an agent's orders; return events for it."""
+    """Run steps and carry out the agent's orders.
+
+    Methods that change the state return a tuple of events for the agent.
+    """
 
     def __init__(self, *, state):
         """Start from an EngineState."""
@@ -45,21 +52,21 @@
         return self._state
 
     def observe(self):
-        """Return the EngineObserved that describes the present state."""
+        """Return the EngineObserved that describes the current state."""
         state = self._state
         carried = state.word is not None and state.word.offer is not None
         return events.EngineObserved(
             generation=state.generation,
             active=state.active,
             spare=state.spare,
-            offered=state.offer is not None or carried,
+            is_offered=state.offer is not None or carried,
             loading=state.loading,
         )
 
     def load(self, identity, *, generation):
-        """Begin to overwrite spare memory.
+        """Begin to load a map into spare memory.
 
-        Refuses an order that was made for another generation.
+        Refuse an order that was given for another generation.
         """
         if generation != self._state.generation:
             return (events.LoadEnded(identity=identity, succeeded=False),)
@@ -67,15 +74,15 @@
         return ()
 
     def end_load(self, *, succeeded):
-        """End the load under way."""
+        """End the current load."""
         identity = self._state.loading
         self._update(loading=None, spare=identity if succeeded else None)
         return (events.LoadEnded(identity=identity, succeeded=succeeded),)
 
     def offer(self, identity):
-        """Offer the map in spare memory from the next word on.
+        """Offer the map in spare memory from the next contribution on.
 
-        Refuses an offer that was made for another generation.
+        Ignore an offer that was ordered for another generation.
         """
         if identity.token.generation != self._state.generation:
             return ()
@@ -84,7 +91,10 @@
         return ()
 
     def withdraw(self, identity):
-        """Leave the map out of the words from the next one on."""
+        """Stop offering the map from the next contribution on.
+
+        The answer follows once no current contribution offers the map.
+        """
         if self._state.offer == identity:
             self._update(offer=None)
         word = self._state.word
@@ -94,8 +104,8 @@
         return (self._answer_withdrawal(identity),)
 
     def contribute(self):
-        """Begin the present step and return its word."""
-        word = barrier.StepWord(
+        """Begin the current step and return this rank's contribution."""
+        word = barrier.StepContribution(
             generation=self._state.generation,
             step=self._state.step,
             rank=self._state.rank,
@@ -104,9 +114,13 @@
         self._update(word=word)
         return word
 
-    def complete(self, words):
-        """End the present step with the words of all ranks."""
-        chosen = barrier.choose_switch(words)
+    def complete(self, contributions):
+        """End the current step with the contributions of all ranks.
+
+        Raise ``BarrierViolated`` if they are of more than one step or the
+        map to switch to is not in spare memory.
+        """
+        chosen = barrier.choose_switch(contributions)
         self._update(step=self._state.step + 1, word=None)
         if chosen is None:
             return self._finish_withdrawal()
@@ -114,22 +128,22 @@
         return self._finish_withdrawal() + (self.observe(),)
 
     def fail(self):
-        """Leave the generation, as a peer is lost."""
+        """Leave the generation after the failure of another rank."""
         self._update(generation=None, word=None, offer=None)
         return self._finish_withdrawal() + (self.observe(),)
 
     def say_formation_word(self, *, nonce):
-        """Return this rank's word for forming the group."""
-        held = (self._state.active, self._state.spare)
-        return barrier.FormationWord(
+        """Return this rank's contribution to forming the group."""
+        held_maps = (self._state.active, self._state.spare)
+        return barrier.FormationContribution(
             rank=self._state.rank,
             counter=self._state.counter,
             nonce=nonce,
-            held=tuple(identity for identity in held if identity),
+            held_maps=tuple(identity for identity in held_maps if identity),
         )
 
     def enter(self, formation):
-        """Join the generation, or ask for the map that it needs."""
+        """Join the generation, or request the map that this rank lacks."""
         if self._state.rank in formation.missing_ranks:
             return (events.MapRequired(identity=formation.identity),)
         if formation.missing_ranks:
@@ -144,7 +158,7 @@
         return (self.observe(),)
 
     def _activate(self, identity):
-        """Exchange active and spare memory."""
+        """Swap active and spare memory."""
         if identity != self._state.spare:
             raise exceptions.BarrierViolated('the map is not whole in memory')
         self._update(
--- a/packages/savoryyoke/savoryyoke/groups/switching/events.py
+++ b/packages/savoryyoke/savoryyoke/groups/switching/events.py
@@ -7,24 +7,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineObserved:
-    """Report the state of the agent's own engine rank, in the engine's order.
+    """Report the state of the agent's own engine rank.
 
+    Events of one engine arrive in the order in which they were sent.
     ``generation`` is None while the group does not run. ``spare`` is the
-    whole map in spare memory, if any. ``offered`` says that the engine may
-    still put ``spare`` into a word or has one under way. ``loading`` is the
-    map that the engine is loading, if any.
+    complete map in spare memory, if any. ``is_offered`` tells whether the
+    engine offers ``spare``, in the current step or from the next one on.
+    ``loading`` is the map that the engine is loading, if any.
     """
 
     generation: identities.Generation | None
     active: identities.MapIdentity | None
     spare: identities.MapIdentity | None = None
-    offered: bool = False
+    is_offered: bool = False
     loading: identities.MapIdentity | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineRestarted:
-    """Report that the engine started anew; no order of before is answered."""
+    """Report that the engine restarted and will answer no earlier order."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -39,8 +40,8 @@
 class WithdrawAnswered:
     """Report the engine's answer to a withdrawal.
 
-    The engine answers once no word under way carries the offer.
-    ``switched`` says that the last such word made the group switch.
+    The engine answers once none of its contributions to a current step
+    offers the map. ``switched`` tells whether the group switched to it.
     """
 
     identity: identities.MapIdentity
@@ -63,9 +64,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MapRequired:
-    """Report that the group can form only once this rank holds a map.
+    """Report that the group can form only once this rank holds the map.
 
-    Comes from the rank's own engine, in the order of its observations.
+    Sent by the rank's own engine, in order with its ``EngineObserved``.
     """
 
     identity: identities.MapIdentity
@@ -81,12 +82,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TimePassed:
-    """Report that time has passed; drives timeouts and repeats."""
+    """Report that time has passed, for timeouts and repetitions."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GroupFormed:
-    """Tell the process beside rank 0 that its group runs."""
+    """Report to the driver that its group runs."""
 
     generation: identities.Generation
     ranks: int
@@ -94,12 +95,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GroupStopped:
-    """Tell the process beside rank 0 that its group does not run."""
+    """Report to the driver that its group does not run."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MapProposed:
-    """Ask the driver to change to the map with ``digest``."""
+    """Request a change to the map with ``digest`` from the driver."""
 
     digest: int
 
@@ -109,15 +110,15 @@
     """Report an agent's state to the driver.
 
     ``driver_nonce`` names the driver that the answer is for.
-    ``highest`` is the newest token that the agent has accepted, ``offering``
-    the map that it offers, ``failed`` the map that it could not load and
-    ``active`` the map of its engine.
+    ``newest_token`` is the newest token that the agent has accepted,
+    ``offered_map`` the map that it offers, ``failed_map`` the map that it
+    could not load and ``active`` the active map of its engine.
     """
 
     rank: int
     generation: identities.Generation | None
     driver_nonce: int
-    highest: identities.ChangeToken | None = None
+    newest_token: identities.ChangeToken | None = None
     active: identities.MapIdentity | None = None
-    offering: identities.MapIdentity | None = None
-    failed: identities.MapIdentity | None = None
+    offered_map: identities.MapIdentity | None = None
+    failed_map: identities.MapIdentity | None = None
--- a/packages/savoryyoke/savoryyoke/groups/switching/identities.py
+++ b/packages/savoryyoke/savoryyoke/groups/switching/identities.py
@@ -7,10 +7,10 @@
 class Generation:
     """Identify one formation of a group.
 
-    ``counter`` grows along a group's formations as long as one of its ranks
-    survives. ``nonce`` is drawn at random by rank 0 for each formation, so
-    that a group whose ranks all restarted is never taken for an earlier one.
-    Generations are compared for equality only.
+    ``counter`` grows with each formation as long as one of the group's ranks
+    survives. ``nonce`` is a random number that rank 0 chooses for each
+    formation, so that a group whose ranks have all restarted is not mistaken
+    for an earlier one. Generations are compared for equality only.
     """
 
     counter: int
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChangeToken:
-    """Order the changes of one generation.
+    """Identify a change and order the changes of one generation.
 
-    ``driver_order`` is above all orders that the driver has read from the
-    ranks. Two drivers that read at the same time may choose the same order;
-    ``driver_nonce``, random for each driver process, then separates them.
-    ``epoch`` counts the changes of one driver.
+    ``driver_order`` is greater than each value that the driver has read from
+    the ranks. Two drivers that read at the same time may choose the same
+    value; ``driver_nonce``, random for each driver process, then distinguishes
+    them. ``epoch`` counts the changes of one driver.
     """
 
     generation: Generation
@@ -33,8 +33,8 @@
     epoch: int
 
     @property
-    def position(self):
-        """Return the place of the token in the order of its generation."""
+    def sort_key(self):
+        """Return the key that sorts the tokens of one generation by age."""
         return (self.driver_order, self.driver_nonce, self.epoch)
 
 
@@ -43,7 +43,7 @@
     """Identify one expert map by content and by the change that made it.
 
     ``digest`` is a hash of the map's content. ``token`` is None for the map
-    that operators declared for the start of the group.
+    with which the group starts by its configuration.
     """
 
     digest: int
--- a/packages/savoryyoke/tests/groups/switching/__init__.py
+++ b/packages/savoryyoke/tests/groups/switching/__init__.py
@@ -1,1 +1,1 @@
-"""Test the groups package."""
+"""Test map changes that the ranks' collective decides."""
--- a/packages/savoryyoke/tests/groups/switching/test_machines.py
+++ b/packages/savoryyoke/tests/groups/switching/test_machines.py
@@ -1,4 +1,4 @@
-"""Test single rules of the rank agent, the driver and the engine's part."""
+"""Test single rules of the rank agent, the driver and the rank engine."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 class RankAgentTest(unittest.TestCase):
-    """Which requests an agent takes."""
+    """Test which requests an agent accepts."""
 
     def setUp(self):
         world = worlds.make_world(ranks=1)
@@ -31,15 +31,15 @@
     def _apply(self, event, now_s=0.0):
         found = self.agent.apply(event, now_s=now_s)
         return [
-            each
-            for each in found
-            if not isinstance(each, decisions.AnswerDriver)
+            decision
+            for decision in found
+            if not isinstance(decision, decisions.AnswerDriver)
         ]
 
     def _prepare(self, identity):
         return self._apply(events.PrepareReceived(identity=identity))
 
-    def test_a_request_after_its_abandonment_is_void(self):
+    def test_a_request_after_its_abandonment_is_ignored(self):
         change = _identify(1)
         self.assertEqual(
             [], self._apply(events.AbandonReceived(identity=change))
@@ -67,10 +67,10 @@
 
 
 class GroupDriverTest(unittest.TestCase):
-    """How a driver learns its order and gives way."""
+    """Test how a driver chooses its order and yields to other drivers."""
 
     def setUp(self):
-        self.driver = drivers.GroupDriver(nonce=1, concurrent_loads=2)
+        self.driver = drivers.GroupDriver(nonce=1, max_concurrent_loads=2)
         self.queries = self._apply(
             events.GroupFormed(generation=worlds.GENERATION, ranks=3)
         )
@@ -89,48 +89,52 @@
 
     def _learn(self):
         for rank in range(3):
-            self._answer(rank, highest=_identify(1, order=4).token)
+            self._answer(rank, newest_token=_identify(1, order=4).token)
 
-    def test_it_reads_all_ranks_before_it_writes(self):
+    def test_it_queries_all_ranks_before_it_sends_requests(self):
         self.assertEqual(3, len(self.queries))
         self.assertEqual((), self._apply(events.MapProposed(digest=5)))
         self._answer(0)
-        self._answer(1, highest=_identify(1, order=4).token)
+        self._answer(1, newest_token=_identify(1, order=4).token)
         prepared = self._answer(2)
         self.assertEqual(5, prepared[0].identity.token.driver_order)
 
-    def test_it_bounds_the_ranks_that_load_at_once(self):
+    def test_it_limits_the_ranks_that_load_at_once(self):
         self._learn()
         prepared = self._apply(events.MapProposed(digest=5))
-        self.assertEqual([0, 1], [each.rank for each in prepared])
+        self.assertEqual([0, 1], [decision.rank for decision in prepared])
         change = prepared[0].identity
-        (following,) = self._answer(1, offering=change, highest=change.token)
+        (following,) = self._answer(
+            1, offered_map=change, newest_token=change.token
+        )
         self.assertEqual(2, following.rank)
 
-    def test_it_gives_way_to_a_newer_driver_and_learns_anew(self):
+    def test_it_yields_to_a_newer_driver_and_queries_all_ranks(self):
         self._learn()
         self._apply(events.MapProposed(digest=5))
         newer = _identify(6, order=9, nonce=2).token
-        ended, *queries = self._answer(0, highest=newer)
-        self.assertEqual('outranked', ended.reason)
+        ended, *queries = self._answer(0, newest_token=newer)
+        self.assertEqual('superseded by another driver', ended.reason)
         self.assertEqual(3, len(queries))
 
-    def test_it_abandons_what_a_rank_cannot_load(self):
+    def test_it_abandons_a_map_that_a_rank_cannot_load(self):
         self._learn()
         change = self._apply(events.MapProposed(digest=5))[0].identity
-        *abandons, ended = self._answer(1, failed=change, highest=change.token)
+        *abandons, ended = self._answer(
+            1, failed_map=change, newest_token=change.token
+        )
         self.assertEqual(3, len(abandons))
         self.assertFalse(ended.switched)
 
-    def test_it_reports_a_switch_that_it_sees(self):
+    def test_it_reports_a_switch_once_a_rank_reports_the_new_map(self):
         self._learn()
         change = self._apply(events.MapProposed(digest=5))[0].identity
-        (ended,) = self._answer(2, active=change, highest=change.token)
+        (ended,) = self._answer(2, active=change, newest_token=change.token)
         self.assertTrue(ended.switched)
 
 
 class RankEngineTest(unittest.TestCase):
-    """What the engine's part refuses."""
+    """Test which orders an engine refuses."""
 
     def test_orders_for_another_generation_are_refused(self):
         world = worlds.make_world(ranks=1)
--- a/packages/savoryyoke/tests/groups/switching/world.py
+++ b/packages/savoryyoke/tests/groups/switching/world.py
@@ -1,8 +1,9 @@
-"""Hold a small group, its processes and its network as one value.
+"""Model a small group, its processes and its network as one value.
 
-``list_actions`` names all that may happen next and ``perform`` returns the
-world after it. Messages are never removed unless asked, so that loss needs no
-action and messages cross freely; orders to an engine keep their order.
+``list_actions`` returns the actions that are possible in a world and
+``perform`` the world after one of them. A message stays in the world until it
+is delivered, so a lost message needs no action of its own, and messages are
+delivered in any order. Orders to an engine keep their order.
 """
 
 import dataclasses
@@ -22,14 +23,17 @@
 
 
 class Violation(AssertionError):
-    """Report a broken promise of the protocol."""
+    """Report a state that the protocol must prevent."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class World:
-    """Hold the state of everything.
+    """Hold the state of all engines, agents, drivers and messages.
 
-    ``begun`` holds (word, active map) of steps that may still be joined.
+    ``begun_steps`` holds (contribution, active map) for each rank that began
+    a step which other ranks may still begin. ``faults`` is the number of
+    faults that may still happen. ``change_ends`` holds (reason, switched) of
+    the changes that ended.
     """
 
     def __hash__(self):
@@ -45,14 +49,14 @@
     orders: tuple
     observations: tuple
     messages: frozenset = frozenset()
-    begun: frozenset = frozenset()
+    begun_steps: frozenset = frozenset()
     proposals: tuple = ()
     faults: int = 0
-    ends: tuple = ()
+    change_ends: tuple = ()
 
 
 def make_world(*, ranks, drivers_count=1, proposals=(), faults=0, order=1):
-    """Return a running group whose drivers have learnt their order."""
+    """Return a running group whose drivers are idle."""
     engine_states = tuple(
         engines.EngineState(
             rank=rank,
@@ -75,13 +79,13 @@
         * ranks,
         drivers=tuple(
             drivers.DriverState(
-                nonce=number + 1,
+                nonce=driver_index + 1,
                 phase=drivers.DriverPhase.IDLE,
                 generation=GENERATION,
                 answers=(None,) * ranks,
-                order=order,
+                driver_order=order,
             )
-            for number in range(drivers_count)
+            for driver_index in range(drivers_count)
         ),
         orders=((),) * ranks,
         observations=((),) * ranks,
@@ -91,17 +95,21 @@
 
 
 class Simulator:
-    """Step worlds under one set of rules; ``rules`` are swapped by mutations.
+    """Perform actions on worlds under one set of rules.
 
-    ``agent_class`` is the rank agent, ``choose`` the choice of the step.
+    ``agent_class`` is the class of rank agents and ``choose_switch`` the
+    function that chooses the map after a step. Mutation tests replace them.
     """
 
     def __init__(
-        self, *, agent_class=agents.RankAgent, choose=barrier.choose_switch
+        self,
+        *,
+        agent_class=agents.RankAgent,
+        choose_switch=barrier.choose_switch,
     ):
-        """Keep the rules."""
+        """Store the rules."""
         self._agent_class = agent_class
-        self._choose = choose
+        self._choose_switch = choose_switch
 
     def list_actions(self, world):
         """Return all actions that are possible in ``world``."""
@@ -111,19 +119,22 @@
         return actions
 
     def list_shared_actions(self, world):
-        """Return the actions that are not of one rank."""
+        """Return the actions that don't belong to one rank."""
         actions = [('deliver', message) for message in world.messages]
         if all(
             state.generation is None and state.loading is None
             for state in world.engines
         ):
             actions.append(('form',))
-        for number, digest in world.proposals:
-            actions.append(('propose', number, digest))
+        for driver_index, digest in world.proposals:
+            actions.append(('propose', driver_index, digest))
         if world.faults:
-            actions += [('duplicate', each) for each in world.messages]
-            for number in range(len(world.drivers)):
-                actions += [('give up', number), ('resend', number)]
+            actions += [('duplicate', message) for message in world.messages]
+            for driver_index in range(len(world.drivers)):
+                actions += [
+                    ('give up', driver_index),
+                    ('resend', driver_index),
+                ]
         return actions
 
     def list_rank_actions(self, world, rank):
@@ -138,7 +149,7 @@
         if state.generation is not None:
             if state.word is None:
                 yield ('contribute', rank)
-            elif self._find_words(world, state) is not None:
+            elif self._find_contributions(world, state) is not None:
                 yield ('complete', rank)
             elif self._is_broken(world, state):
                 yield ('fail', rank)
@@ -157,36 +168,42 @@
             peer.generation != state.generation for peer in world.engines
         )
 
-    def _find_words(self, world, state):
-        words = [
+    def _find_contributions(self, world, state):
+        contributions = [
             word
-            for word, active in world.begun
+            for word, active in world.begun_steps
             if _find_step(word) == _find_step(state)
         ]
-        return words if len(words) == len(world.engines) else None
+        return (
+            contributions if len(contributions) == len(world.engines) else None
+        )
 
     def perform(self, world, action):
-        """Return the world after ``action``; raise Violation if broken."""
-        turn = _Turn(world, self._agent_class)
+        """Return the world after ``action``.
+
+        Raise ``Violation`` or ``BarrierViolated`` for a state that the
+        protocol must prevent.
+        """
+        transition = _Transition(world, self._agent_class)
         name, *arguments = action
         if name not in _FREE_ACTIONS:
-            turn.faults -= 1
+            transition.faults -= 1
         if name == 'complete':
-            self._complete(turn, world, *arguments)
+            self._complete(transition, world, *arguments)
         else:
-            getattr(turn, name.replace(' ', '_'))(*arguments)
-        return turn.freeze()
+            getattr(transition, name.replace(' ', '_'))(*arguments)
+        return transition.freeze()
 
-    def _complete(self, turn, world, rank):
-        words = self._find_words(world, world.engines[rank])
+    def _complete(self, transition, world, rank):
+        contributions = self._find_contributions(world, world.engines[rank])
         engine = engines.RankEngine(state=world.engines[rank])
         original = barrier.choose_switch
-        barrier.choose_switch = self._choose
+        barrier.choose_switch = self._choose_switch
         try:
-            observed = engine.complete(words)
+            observed = engine.complete(contributions)
         finally:
             barrier.choose_switch = original
-        turn.keep_engine(rank, engine, observed)
+        transition.store_engine(rank, engine, observed)
 
 
 _FREE_ACTIONS = frozenset(
@@ -195,34 +212,36 @@
 )
 
 
-class _Turn:
+class _Transition:
     """Carry out one action on a copy of a world."""
 
     def __init__(self, world, agent_class):
         self._agent_class = agent_class
-        self._names = [each.name for each in dataclasses.fields(world)]
+        self._names = [field.name for field in dataclasses.fields(world)]
         for name in self._names:
             value = getattr(world, name)
-            thawed = {tuple: list, frozenset: set}.get(type(value), int)
-            setattr(self, name, thawed(value))
+            mutable_class = {tuple: list, frozenset: set}.get(type(value), int)
+            setattr(self, name, mutable_class(value))
 
     def freeze(self):
         self._shift_steps()
         steps = set(map(_find_step, self.engines))
-        self.begun = {
+        self.begun_steps = {
             (word, active)
-            for word, active in self.begun
+            for word, active in self.begun_steps
             if _find_step(word) in steps
         }
         fields = {}
         for name in self._names:
             value = getattr(self, name)
-            frozen = {list: tuple, set: frozenset}.get(type(value), int)
-            fields[name] = frozen(value)
+            immutable_class = {list: tuple, set: frozenset}.get(
+                type(value), int
+            )
+            fields[name] = immutable_class(value)
         return World(**fields)
 
     def _shift_steps(self):
-        """Count steps from the slowest rank's, so that worlds repeat."""
+        """Count steps from the slowest rank's, so that fewer worlds differ."""
         shift = min(state.step for state in self.engines) - 1
         if shift < 1:
             return
@@ -234,8 +253,8 @@
             )
             for state in self.engines
         ]
-        self.begun = {
-            (_shift(word, shift), active) for word, active in self.begun
+        self.begun_steps = {
+            (_shift(word, shift), active) for word, active in self.begun_steps
         }
 
     def deliver(self, message):
@@ -243,26 +262,26 @@
         self.duplicate(message)
 
     def duplicate(self, message):
-        kind, index, event = message
-        if kind == 'agent':
-            self._tell_agent(index, event)
+        receiver, receiver_index, event = message
+        if receiver == 'agent':
+            self._apply_to_agent(receiver_index, event)
         else:
-            self._tell_driver(index, event)
+            self._apply_to_driver(receiver_index, event)
 
     def order(self, rank):
         order, *rest = self.orders[rank]
         self.orders[rank] = tuple(rest)
         engine = engines.RankEngine(state=self.engines[rank])
-        self.keep_engine(rank, engine, _carry_out(order, engine))
+        self.store_engine(rank, engine, _carry_out(order, engine))
 
     def observe(self, rank):
         event, *rest = self.observations[rank]
         self.observations[rank] = tuple(rest)
-        self._tell_agent(rank, event)
+        self._apply_to_agent(rank, event)
 
     def loaded(self, rank, succeeded=True):
         engine = engines.RankEngine(state=self.engines[rank])
-        self.keep_engine(rank, engine, engine.end_load(succeeded=succeeded))
+        self.store_engine(rank, engine, engine.end_load(succeeded=succeeded))
 
     load_fails = functools.partialmethod(loaded, succeeded=False)
 
@@ -270,57 +289,57 @@
         engine = engines.RankEngine(state=self.engines[rank])
         word = engine.contribute()
         active = engine.state.active
-        for other, other_active in self.begun:
+        for other, other_active in self.begun_steps:
             if (
                 _find_step(other) == _find_step(word)
                 and other_active != active
             ):
                 raise Violation('two maps in one step')
-        self.begun.add((word, active))
-        self.keep_engine(rank, engine, ())
+        self.begun_steps.add((word, active))
+        self.store_engine(rank, engine, ())
 
     def fail(self, rank):
         engine = engines.RankEngine(state=self.engines[rank])
-        self.keep_engine(rank, engine, engine.fail())
+        self.store_engine(rank, engine, engine.fail())
 
     partition = fail
 
     def form(self):
         members = [engines.RankEngine(state=state) for state in self.engines]
-        words = [
+        contributions = [
             member.say_formation_word(nonce=self.faults) for member in members
         ]
-        formation = barrier.form_group(words, declared=DECLARED)
+        formation = barrier.form_group(contributions, declared=DECLARED)
         for rank in formation.missing_ranks:
-            if words[rank].counter:
+            if contributions[rank].counter:
                 raise Violation('a survivor lacks the common map')
         for rank, member in enumerate(members):
-            self.keep_engine(rank, member, member.enter(formation))
+            self.store_engine(rank, member, member.enter(formation))
         if formation.missing_ranks:
             return
-        for number in range(len(self.drivers)):
+        for driver_index in range(len(self.drivers)):
             event = events.GroupFormed(
                 generation=formation.generation, ranks=len(members)
             )
-            self._tell_driver(number, event)
+            self._apply_to_driver(driver_index, event)
 
-    def propose(self, number, digest):
-        self.proposals.remove((number, digest))
-        self._tell_driver(number, events.MapProposed(digest=digest))
+    def propose(self, driver_index, digest):
+        self.proposals.remove((driver_index, digest))
+        self._apply_to_driver(driver_index, events.MapProposed(digest=digest))
 
-    def give_up(self, number):
-        self._tell_driver(number, events.TimePassed(), now_s=LATE_S)
+    def give_up(self, driver_index):
+        self._apply_to_driver(driver_index, events.TimePassed(), now_s=LATE_S)
 
-    def resend(self, number):
-        due_s = self.drivers[number].resend_at_s
-        self._tell_driver(number, events.TimePassed(), now_s=due_s)
+    def resend(self, driver_index):
+        due_s = self.drivers[driver_index].resend_at_s
+        self._apply_to_driver(driver_index, events.TimePassed(), now_s=due_s)
 
     def engine_dies(self, rank):
         state = engines.EngineState(rank=rank)
         engine = engines.RankEngine(state=state)
         self.orders[rank] = ()
         self.observations[rank] = (events.EngineRestarted(),)
-        self.keep_engine(rank, engine, (engine.observe(),))
+        self.store_engine(rank, engine, (engine.observe(),))
 
     def agent_dies(self, rank):
         self.agents[rank] = agents.AgentState()
@@ -328,13 +347,13 @@
         self.observations[rank] = (engine.observe(),)
 
     def offer_times_out(self, rank):
-        self._tell_agent(rank, events.TimePassed(), now_s=LATE_S)
+        self._apply_to_agent(rank, events.TimePassed(), now_s=LATE_S)
 
-    def keep_engine(self, rank, engine, observed):
+    def store_engine(self, rank, engine, observed):
         self.engines[rank] = engine.state
         self.observations[rank] += observed
 
-    def _tell_agent(self, rank, event, now_s=0.0):
+    def _apply_to_agent(self, rank, event, now_s=0.0):
         agent = self._agent_class(state=self.agents[rank])
         for decision in agent.apply(event, now_s=now_s):
             if isinstance(decision, decisions.AnswerDriver):
@@ -345,23 +364,23 @@
 
     def _send_answer(self, rank, decision):
         answer = events.AgentAnswered(rank=rank, **vars(decision))
-        for number, state in enumerate(self.drivers):
+        for driver_index, state in enumerate(self.drivers):
             if state.nonce == decision.driver_nonce:
-                self.messages.add(('driver', number, answer))
+                self.messages.add(('driver', driver_index, answer))
 
-    def _tell_driver(self, number, event, now_s=0.0):
-        driver = drivers.GroupDriver(state=self.drivers[number])
+    def _apply_to_driver(self, driver_index, event, now_s=0.0):
+        driver = drivers.GroupDriver(state=self.drivers[driver_index])
         for decision in driver.apply(event, now_s=now_s):
             if isinstance(decision, decisions.ChangeEnded):
-                self.ends.append((decision.reason, decision.switched))
+                self.change_ends.append((decision.reason, decision.switched))
             else:
                 request = _make_request(decision)
                 self.messages.add(('agent', decision.rank, request))
-        self.drivers[number] = driver.state
+        self.drivers[driver_index] = driver.state
 
 
-def _find_step(part):
-    return (part.generation, part.step)
+def _find_step(state_or_word):
+    return (state_or_word.generation, state_or_word.step)
 
 
 def _shift(word, shift):
@@ -379,9 +398,9 @@
 def _make_request(decision):
     fields = dict(vars(decision))
     fields.pop('rank')
-    kinds = {
+    event_classes = {
         decisions.PrepareRank: events.PrepareReceived,
         decisions.AbandonRank: events.AbandonReceived,
         decisions.QueryRank: events.QueryReceived,
     }
-    return kinds[type(decision)](**fields)
+    return event_classes[type(decision)](**fields)
