--- a/packages/savoryyoke/savoryyoke/groups/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/groups/exceptions.py
@@ -6,7 +6,7 @@
 
 
 class UnknownEvent(GroupsError):
-    """Report an event that the aggregate does not know."""
+    """Report an event of a type that the receiver does not handle."""
 
     def __init__(self, *, event):
         """Name the type of ``event``."""
@@ -14,8 +14,8 @@
 
 
 class BarrierViolated(GroupsError):
-    """Report words that one completed collective cannot have carried."""
+    """Report contributions that can't come from one completed collective."""
 
 
 class InvalidShape(GroupsError):
-    """Report loads, maps or limits whose sizes do not fit together."""
+    """Report loads, maps or limits whose sizes don't match."""
--- a/packages/savoryyoke/savoryyoke/groups/stragglers/decisions.py
+++ b/packages/savoryyoke/savoryyoke/groups/stragglers/decisions.py
@@ -7,7 +7,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, eq=False)
 class ShiftExperts:
-    """Plan the map for these relative speeds of the ranks."""
+    """Plan the expert map for these relative speeds of the ranks.
+
+    ``speeds`` holds one number for each rank, 1.0 for a healthy one.
+    """
 
     speeds: numpy.ndarray
     reason: str
@@ -15,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LimitBatch:
-    """Let the group batch this share of its usual tokens."""
+    """Limit the group's batches to this share of their usual tokens."""
 
     share: float
     reason: str
@@ -23,13 +26,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DrainGroup:
-    """Give the group no new work, and say so to the operators."""
+    """Send the group no new work, and notify the operators."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RestoreGroup:
-    """Give the group new work again."""
+    """Send the group new work again."""
 
     reason: str
--- a/packages/savoryyoke/savoryyoke/groups/stragglers/events.py
+++ b/packages/savoryyoke/savoryyoke/groups/stragglers/events.py
@@ -9,8 +9,9 @@
 class StepsReported:
     """Report the group's steps since the last report.
 
-    ``rank_loads`` holds tokens a step of each rank, ``rank_times_s`` its
-    time of work in a step without the wait for others, NaN if not known.
+    ``rank_loads`` holds each rank's tokens per step and ``rank_times_s`` its
+    working time per step, without the wait for other ranks; NaN if it is
+    unknown. Both have one element for each rank.
     """
 
     rank_loads: numpy.ndarray
--- a/packages/savoryyoke/savoryyoke/groups/stragglers/monitor.py
+++ b/packages/savoryyoke/savoryyoke/groups/stragglers/monitor.py
@@ -1,4 +1,4 @@
-"""Choose the mildest action that copes with the slow ranks of a group."""
+"""Choose the mildest sufficient action against the slow ranks of a group."""
 
 import functools
 
@@ -9,48 +9,55 @@
 from savoryyoke.groups.stragglers import decisions
 from savoryyoke.groups.stragglers import events
 from savoryyoke.groups.stragglers import evidence
-from savoryyoke.groups.stragglers import ranks as rank_judgements
+from savoryyoke.groups.stragglers import ranks as rank_health
 
 
 class StragglerMonitor:
-    """Shift experts first, then shrink the batch, then drain the group.
+    """Move experts off slow ranks, then limit batches, then drain the group.
 
-    Each further action waits until the one before has had time to act. Only
-    a slow rank leads to action: steps that are slow because of hot experts
-    are the rebalancer's.
+    Each further action waits ``ACTION_INTERVAL_S`` for the effect of the
+    previous one. Only slow ranks lead to actions: the rebalancer handles steps
+    that are slow because some experts are in high demand.
     """
 
     def __init__(self, *, ranks, step_time_limit_s=conf.STEP_TIME_LIMIT_S):
-        """Start with healthy ranks and a whole batch."""
+        """Start with healthy ranks and unlimited batches.
+
+        ``ranks`` is the number of ranks. Steps that take longer than
+        ``step_time_limit_s`` are late.
+        """
         self._step_time_limit_s = step_time_limit_s
-        self._times = evidence.RankTimes(ranks=ranks)
-        self._ranks = [rank_judgements.RankHealth() for _ in range(ranks)]
-        self._share = 1.0
-        self._drained = False
-        self._acted_s = 0.0
+        self._rank_times = evidence.RankTimes(ranks=ranks)
+        self._health_by_rank = [rank_health.RankHealth() for _ in range(ranks)]
+        self._batch_share = 1.0
+        self._is_drained = False
+        self._last_action_s = 0.0
         self._step_time_s = None
 
     @property
     def speeds(self):
-        """Return the relative speed of each rank that plans go by."""
-        return numpy.array([rank.speed for rank in self._ranks])
+        """Return each rank's relative speed as used for planning maps."""
+        return numpy.array([health.speed for health in self._health_by_rank])
 
     @functools.singledispatchmethod
     def apply(self, event, *, now_s):
-        """Take in ``event`` and return a tuple of decisions."""
+        """Process ``event`` and return a tuple of decisions.
+
+        Raise ``UnknownEvent`` for an event of another type.
+        """
         raise exceptions.UnknownEvent(event=event)
 
     @apply.register
     def _(self, event: events.StepsReported, *, now_s):
-        self._times.add(event.rank_loads, event.rank_times_s, now_s=now_s)
-        known = event.rank_times_s[numpy.isfinite(event.rank_times_s)]
-        if known.size:
-            self._smooth_step_time(float(known.max()))
-        estimate = self._times.estimate()
-        shifted = self._judge_ranks(estimate, now_s)
-        if shifted:
-            self._acted_s = now_s
-            return shifted
+        self._rank_times.add(event.rank_loads, event.rank_times_s, now_s=now_s)
+        known_times_s = event.rank_times_s[numpy.isfinite(event.rank_times_s)]
+        if known_times_s.size:
+            self._smooth_step_time(float(known_times_s.max()))
+        estimate = self._rank_times.estimate()
+        shift_decisions = self._update_ranks(estimate, now_s)
+        if shift_decisions:
+            self._last_action_s = now_s
+            return shift_decisions
         return self._escalate(now_s)
 
     def _smooth_step_time(self, time_s):
@@ -58,70 +65,84 @@
             self._step_time_s = time_s
         self._step_time_s += 0.2 * (time_s - self._step_time_s)
 
-    def _judge_ranks(self, estimate, now_s):
-        certain = estimate.certain
-        changed = [
-            number
-            for number, rank in enumerate(self._ranks)
-            if rank.judge(
-                factor=float(estimate.factors[number]),
-                certain=bool(certain[number]),
+    def _update_ranks(self, estimate, now_s):
+        is_significant = estimate.is_significant
+        changed_ranks = [
+            rank
+            for rank, health in enumerate(self._health_by_rank)
+            if health.update(
+                time_ratio=float(estimate.time_ratios[rank]),
+                is_significant=bool(is_significant[rank]),
                 now_s=now_s,
             )
         ]
-        if not changed:
+        if not changed_ranks:
             return ()
-        figures = ', '.join(
-            f'rank {number} speed {self._ranks[number].speed:.2f}'
-            for number in changed
+        reason = ', '.join(
+            f'rank {rank} speed {self._health_by_rank[rank].speed:.2f}'
+            for rank in changed_ranks
         )
-        return (decisions.ShiftExperts(speeds=self.speeds, reason=figures),)
+        return (decisions.ShiftExperts(speeds=self.speeds, reason=reason),)
 
     def _escalate(self, now_s):
-        slow = [number for number, rank in enumerate(self._ranks) if rank.slow]
-        if not slow:
-            return self._relax()
-        if self._drained or now_s - self._acted_s < conf.ACT_AFTER_S:
+        slow_ranks = [
+            rank
+            for rank, health in enumerate(self._health_by_rank)
+            if health.is_slow
+        ]
+        if not slow_ranks:
+            return self._undo_actions()
+        if (
+            self._is_drained
+            or now_s - self._last_action_s < conf.ACTION_INTERVAL_S
+        ):
             return ()
-        slowest = min(slow, key=lambda number: self._ranks[number].speed)
-        speed = self._ranks[slowest].speed
-        late = self._step_time_s > self._step_time_limit_s
-        if late and (
-            speed * conf.DRAIN_FACTOR < 1
-            or self._share <= conf.BATCH_SHARE_MIN
+        slowest_rank = min(
+            slow_ranks,
+            key=lambda rank: self._health_by_rank[rank].speed,
+        )
+        speed = self._health_by_rank[slowest_rank].speed
+        is_late = self._step_time_s > self._step_time_limit_s
+        if is_late and (
+            speed * conf.DRAIN_TIME_RATIO < 1
+            or self._batch_share <= conf.MIN_BATCH_SHARE
         ):
-            return self._drain(slowest, speed)
-        if late:
-            return self._shrink(slowest, now_s)
+            return self._drain_group(slowest_rank, speed)
+        if is_late:
+            return self._limit_batch(slowest_rank, now_s)
         return ()
 
-    def _drain(self, slowest, speed):
-        self._drained = True
+    def _drain_group(self, slowest_rank, speed):
+        self._is_drained = True
         reason = (
-            f'rank {slowest} runs at speed {speed:.2f} and steps take '
+            f'rank {slowest_rank} runs at speed {speed:.2f} and steps take '
             f'{self._step_time_s * 1e3:.1f} ms'
         )
         return (decisions.DrainGroup(reason=reason),)
 
-    def _shrink(self, slowest, now_s):
-        self._acted_s = now_s
-        wanted = self._share * self._step_time_limit_s / self._step_time_s
-        self._share = max(conf.BATCH_SHARE_MIN, 0.95 * wanted)
+    def _limit_batch(self, slowest_rank, now_s):
+        self._last_action_s = now_s
+        required_share = (
+            self._batch_share * self._step_time_limit_s / self._step_time_s
+        )
+        self._batch_share = max(conf.MIN_BATCH_SHARE, 0.95 * required_share)
         reason = (
-            f'rank {slowest} is slow and steps take '
+            f'rank {slowest_rank} is slow and steps take '
             f'{self._step_time_s * 1e3:.1f} ms'
         )
-        return (decisions.LimitBatch(share=self._share, reason=reason),)
-
-    def _relax(self):
-        """Undo what was done once no rank is slow any more."""
-        undone = ()
-        if self._drained:
-            self._drained = False
-            undone += (decisions.RestoreGroup(reason='no rank is slow'),)
-        if self._share < 1:
-            self._share = 1.0
-            undone += (
+        return (decisions.LimitBatch(share=self._batch_share, reason=reason),)
+
+    def _undo_actions(self):
+        """Undo the drain and the batch limit, as no rank is slow any more."""
+        undo_decisions = ()
+        if self._is_drained:
+            self._is_drained = False
+            undo_decisions += (
+                decisions.RestoreGroup(reason='no rank is slow'),
+            )
+        if self._batch_share < 1:
+            self._batch_share = 1.0
+            undo_decisions += (
                 decisions.LimitBatch(share=1.0, reason='no rank is slow'),
             )
-        return undone
+        return undo_decisions
