--- a/packages/savoryyoke-agent/savoryyoke_agent/daemon.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/daemon.py
@@ -170,7 +170,8 @@
     def _is_group_large(self):
         state = self._agent.state
         return (
-            state is not None and state.ranks > rollout_conf.SMALL_GROUP_RANKS
+            state is not None
+            and state.ranks > rollout_conf.SMALL_GROUP_MAX_RANKS
         )
 
     def _phase(self):
@@ -225,8 +226,8 @@
         """Become leader when none is heard."""
         state = self._agent.state
         wait_s = (
-            rollout_conf.ELECTION_S
-            + state.rank * rollout_conf.ELECTION_PER_RANK_S
+            rollout_conf.ELECTION_TIMEOUT_S
+            + state.rank * rollout_conf.ELECTION_STAGGER_PER_RANK_S
         )
         if self._clock() - self._directed_s < wait_s:
             return
@@ -237,10 +238,10 @@
             group=state.group,
             term=term,
             host=self._settings.own_host,
-            draw_bits=self._random.getrandbits,
-            knows_map=self._balancer.contents.knows,
+            generate_bits=self._random.getrandbits,
+            has_map_content=self._balancer.contents.knows,
             now_s=self._clock(),
-            former=self._agent.directive,
+            previous_directive=self._agent.directive,
         )
         logs.write_event(
             'leader_elected',
@@ -337,7 +338,7 @@
         if directive.phase is _Phase.PREPARE:
             directive = self._complete(directive, state)
         # Orders follow with the next observation, which comes at once.
-        self._agent.follow(directive)
+        self._agent.accept_directive(directive)
         if directive.phase is not before or directive.phase is not _Phase.IDLE:
             self._wake.set()
 
@@ -357,7 +358,7 @@
             return
         self.remember(expert_map)
         self._delivery.pass_on(message, state)
-        self._agent.learn_map(expert_map)
+        self._agent.attach_map(expert_map)
         self._wake.set()
 
     def _take_choices(self, choices):
@@ -537,5 +538,5 @@
         'map_change_ended',
         version=decision.version,
         reason=decision.reason,
-        took_s=decision.took_s,
+        took_s=decision.duration_s,
     )
--- a/packages/savoryyoke-agent/savoryyoke_agent/delivery.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/delivery.py
@@ -64,14 +64,14 @@
         )
         ranks = [*blocks.find_heads(state.ranks)]
         if state.rank in ranks:
-            ranks.extend(blocks.find_others(state.rank, state.ranks))
+            ranks.extend(blocks.find_other_members(state.rank, state.ranks))
         self._enqueue(_Sending(message=message, hosts=self._find_hosts(ranks)))
 
     def pass_on(self, message, state):
         """Queue a map that has arrived for the rest of the own block."""
         if state.rank != blocks.find_head(state.rank, state.ranks):
             return
-        others = blocks.find_others(state.rank, state.ranks)
+        others = blocks.find_other_members(state.rank, state.ranks)
         self._enqueue(
             _Sending(message=message, hosts=self._find_hosts(others))
         )
@@ -120,6 +120,6 @@
 
 
 def _find_patience_s(ranks):
-    if ranks <= rollout_conf.SMALL_GROUP_RANKS:
+    if ranks <= rollout_conf.SMALL_GROUP_MAX_RANKS:
         return conf.MAP_PATIENCE_S
     return conf.BLOCK_MAP_PATIENCE_S
--- a/packages/savoryyoke-agent/tests/test_daemon.py
+++ b/packages/savoryyoke-agent/tests/test_daemon.py
@@ -62,7 +62,7 @@
 
         self.run_group(scenario)
 
-    @mock.patch.object(conf, 'SMALL_GROUP_RANKS', 3)
+    @mock.patch.object(conf, 'SMALL_GROUP_MAX_RANKS', 3)
     def test_maps_follow_demand_through_blocks(self):
         ranks = 5
         self.assertEqual([0, 2, 4], list(blocks.find_heads(ranks)))
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/scenarios/clock_group.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/scenarios/clock_group.py
@@ -144,8 +144,8 @@
             peer.state.generation != state.generation or not peer.is_up
             for peer in self._ranks
         ):
-            rank.keep(rank.engine.fail())
-        elif state.word is None:
+            rank.keep(rank.engine.leave_generation())
+        elif state.contribution is None:
             key = (state.generation, state.step)
             self._maps_by_step.setdefault(key, set()).add(state.active)
             word = rank.engine.contribute()
@@ -160,12 +160,12 @@
             return
         self._nonce += 1
         words = [
-            rank.engine.say_formation_word(nonce=self._nonce)
+            rank.engine.make_formation_contribution(nonce=self._nonce)
             for rank in self._ranks
         ]
         formation = barrier.form_group(words, declared=DECLARED)
         for rank in self._ranks:
-            rank.keep(rank.engine.enter(formation))
+            rank.keep(rank.engine.join_generation(formation))
         if not formation.missing_ranks:
             self.figures['formations'] += 1
             self._tell_driver(
--- a/packages/savoryyoke/savoryyoke/groups/rollout/agent.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/agent.py
@@ -60,7 +60,7 @@
 
     @apply.register
     def _(self, event: events.DirectiveReceived):
-        if self.follow(event.directive):
+        if self.accept_directive(event.directive):
             return self._choose_order()
         return None
 
@@ -72,7 +72,7 @@
             self._answered_copy_order = self._last_order
         return None
 
-    def follow(self, directive):
+    def accept_directive(self, directive):
         """Accept a directive if it is newer; return whether it was accepted.
 
         The orders that it requires are chosen at the next observation of the
@@ -86,7 +86,7 @@
         self._directive = directive
         return True
 
-    def learn_map(self, expert_map):
+    def attach_map(self, expert_map):
         """Add the map to the directive, if the directive has its version.
 
         The orders that it requires are chosen at the next observation of the
--- a/packages/savoryyoke/savoryyoke/groups/rollout/blocks.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/blocks.py
@@ -23,7 +23,7 @@
     return range(0, rank_count, _compute_block_size(rank_count))
 
 
-def find_others(head, rank_count):
+def find_other_members(head, rank_count):
     """Return the ranks of the block of ``head`` without ``head`` itself."""
     return range(
         head + 1, min(head + _compute_block_size(rank_count), rank_count)
@@ -31,6 +31,6 @@
 
 
 def _compute_block_size(rank_count):
-    if rank_count <= conf.SMALL_GROUP_RANKS:
+    if rank_count <= conf.SMALL_GROUP_MAX_RANKS:
         return 1
     return math.isqrt(rank_count)
--- a/packages/savoryyoke/savoryyoke/groups/rollout/conf.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/conf.py
@@ -10,8 +10,8 @@
 
 # A rank becomes leader after this time without a directive, plus the second
 # value times its rank, so that ranks don't all become leaders at once.
-ELECTION_S = 0.5
-ELECTION_PER_RANK_S = 0.1
+ELECTION_TIMEOUT_S = 0.5
+ELECTION_STAGGER_PER_RANK_S = 0.1
 
 # The leader gives orders directly to the engine of an agent that has not
 # reported for this long.
@@ -28,7 +28,7 @@
 # Groups of up to this many ranks exchange maps and counts with the leader
 # directly, without blocks. On the largest sites the leader's VM has 4 Mbit/s,
 # a map takes 6 KB and a report of counts 5 KB.
-SMALL_GROUP_RANKS = 16
+SMALL_GROUP_MAX_RANKS = 16
 
 # The low bits of a map's version are random, so that two leaders don't give
 # the same version to different maps.
--- a/packages/savoryyoke/savoryyoke/groups/rollout/decisions.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/decisions.py
@@ -67,9 +67,10 @@
 class ChangeEnded:
     """Report how a map change ended, for the log.
 
-    ``took_s`` is the duration of the change.
+    ``duration_s`` is the time since the change was proposed, or since the
+    leader started if the leader resumed the change.
     """
 
     version: int
     reason: str
-    took_s: float
+    duration_s: float
--- a/packages/savoryyoke/savoryyoke/groups/rollout/leader.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/leader.py
@@ -43,23 +43,23 @@
         group,
         term,
         host,
-        draw_bits,
-        knows_map,
+        generate_bits,
+        has_map_content,
         now_s,
-        former=None,
+        previous_directive=None,
     ):
         """Start in phase LEARN.
 
-        ``draw_bits(n)`` returns an integer of n random bits.
-        ``knows_map(version)`` returns whether the content of a map is
-        available; if not, the ranks are asked for it. ``former`` is the
-        newest available directive of an older term, or None.
+        ``generate_bits(n)`` returns an integer of n random bits.
+        ``has_map_content(version)`` returns whether the content of a map is
+        available; if not, the ranks are asked for it. ``previous_directive``
+        is the newest available directive of an older term, or None.
         """
         self._group = group
         self._term = term
         self._host = host
-        self._draw_bits = draw_bits
-        self._knows_map = knows_map
+        self._generate_bits = generate_bits
+        self._has_map_content = has_map_content
         self._sequence = 0
         self._reports_by_rank = {}
         self._phase = _Phase.LEARN
@@ -72,7 +72,7 @@
         self._change_first_step = 0
         self._hold_rank = term.rank
         self._last_intervention_s = now_s
-        self._previous_directive = former
+        self._previous_directive = previous_directive
 
     @property
     def term(self):
@@ -151,7 +151,7 @@
 
     def _choose_version(self, newest_version):
         counter = (newest_version >> conf.VERSION_RANDOM_BITS) + 1
-        random_bits = self._draw_bits(conf.VERSION_RANDOM_BITS)
+        random_bits = self._generate_bits(conf.VERSION_RANDOM_BITS)
         return (counter << conf.VERSION_RANDOM_BITS) + random_bits
 
     def _advance(self, now_s):
@@ -372,7 +372,7 @@
         return decisions.ChangeEnded(
             version=self._version,
             reason=reason,
-            took_s=now_s - self._change_started_s,
+            duration_s=now_s - self._change_started_s,
         )
 
     def _enter_phase(self, phase, now_s):
@@ -406,7 +406,8 @@
         Without it no next map can be planned.
         """
         return self._phase is _Phase.IDLE and not all(
-            self._knows_map(state.active) for state in self._list_states()
+            self._has_map_content(state.active)
+            for state in self._list_states()
         )
 
 
--- a/packages/savoryyoke/savoryyoke/groups/switching/engines.py
+++ b/packages/savoryyoke/savoryyoke/groups/switching/engines.py
@@ -19,9 +19,9 @@
 
     ``active``, ``spare`` and ``loading`` are the maps in active memory, in
     spare memory and being loaded into spare memory. ``offer`` is the map to
-    offer from the next step on. ``word`` is the rank's contribution to the
-    collective of the current step while that runs, and ``withdrawing`` the
-    offer whose withdrawal is answered after it.
+    offer from the next step on. ``contribution`` is the rank's contribution
+    to the collective of the current step while that runs, and ``withdrawing``
+    the offer whose withdrawal is answered after it.
     """
 
     rank: int
@@ -32,7 +32,7 @@
     spare: identities.MapIdentity | None = None
     loading: identities.MapIdentity | None = None
     offer: identities.MapIdentity | None = None
-    word: barrier.StepContribution | None = None
+    contribution: barrier.StepContribution | None = None
     withdrawing: identities.MapIdentity | None = None
 
 
@@ -54,7 +54,10 @@
     def observe(self):
         """Return the EngineObserved that describes the current state."""
         state = self._state
-        carried = state.word is not None and state.word.offer is not None
+        carried = (
+            state.contribution is not None
+            and state.contribution.offer is not None
+        )
         return events.EngineObserved(
             generation=state.generation,
             active=state.active,
@@ -97,22 +100,22 @@
         """
         if self._state.offer == identity:
             self._update(offer=None)
-        word = self._state.word
-        if word is not None and word.offer == identity:
+        contribution = self._state.contribution
+        if contribution is not None and contribution.offer == identity:
             self._update(withdrawing=identity)
             return ()
         return (self._answer_withdrawal(identity),)
 
     def contribute(self):
         """Begin the current step and return this rank's contribution."""
-        word = barrier.StepContribution(
+        contribution = barrier.StepContribution(
             generation=self._state.generation,
             step=self._state.step,
             rank=self._state.rank,
             offer=self._state.offer,
         )
-        self._update(word=word)
-        return word
+        self._update(contribution=contribution)
+        return contribution
 
     def complete(self, contributions):
         """End the current step with the contributions of all ranks.
@@ -121,18 +124,18 @@
         map to switch to is not in spare memory.
         """
         chosen = barrier.choose_switch(contributions)
-        self._update(step=self._state.step + 1, word=None)
+        self._update(step=self._state.step + 1, contribution=None)
         if chosen is None:
             return self._finish_withdrawal()
         self._activate(chosen)
         return self._finish_withdrawal() + (self.observe(),)
 
-    def fail(self):
+    def leave_generation(self):
         """Leave the generation after the failure of another rank."""
-        self._update(generation=None, word=None, offer=None)
+        self._update(generation=None, contribution=None, offer=None)
         return self._finish_withdrawal() + (self.observe(),)
 
-    def say_formation_word(self, *, nonce):
+    def make_formation_contribution(self, *, nonce):
         """Return this rank's contribution to forming the group."""
         held_maps = (self._state.active, self._state.spare)
         return barrier.FormationContribution(
@@ -142,7 +145,7 @@
             held_maps=tuple(identity for identity in held_maps if identity),
         )
 
-    def enter(self, formation):
+    def join_generation(self, formation):
         """Join the generation, or request the map that this rank lacks."""
         if self._state.rank in formation.missing_ranks:
             return (events.MapRequired(identity=formation.identity),)
--- a/packages/savoryyoke/tests/groups/rollout/test_rollout.py
+++ b/packages/savoryyoke/tests/groups/rollout/test_rollout.py
@@ -151,8 +151,8 @@
             group='g',
             term=models.Term(number=1, rank=0),
             host='0',
-            draw_bits=lambda count: 1,
-            knows_map=known_versions.__contains__,
+            generate_bits=lambda count: 1,
+            has_map_content=known_versions.__contains__,
             now_s=0.0,
         )
         report = models.RankReport(
--- a/packages/savoryyoke/tests/groups/rollout/world.py
+++ b/packages/savoryyoke/tests/groups/rollout/world.py
@@ -274,7 +274,7 @@
         process.directive_received_s = self.now_s
         if process.leader is not None and (message.term > process.leader.term):
             process.leader = None
-        process.agent.follow(message)
+        process.agent.accept_directive(message)
 
     def _process_order(self, rank, order):
         if order is None:
@@ -309,7 +309,10 @@
     def _run_leader(self, rank):
         process = self.processes[rank]
         if process.leader is None:
-            wait_s = conf.ELECTION_S + rank * conf.ELECTION_PER_RANK_S
+            wait_s = (
+                conf.ELECTION_TIMEOUT_S
+                + rank * conf.ELECTION_STAGGER_PER_RANK_S
+            )
             if self.now_s - process.directive_received_s < wait_s:
                 return
             process.leader = self._leader_class(
@@ -318,10 +321,10 @@
                     number=process.agent.term.number + 1, rank=rank
                 ),
                 host=str(rank),
-                draw_bits=self.random.getrandbits,
-                knows_map=lambda version: True,
+                generate_bits=self.random.getrandbits,
+                has_map_content=lambda version: True,
                 now_s=self.now_s,
-                former=process.agent.directive,
+                previous_directive=process.agent.directive,
             )
         if self.now_s - process.published_s >= 3 * TICK_S:
             process.published_s = self.now_s
--- a/packages/savoryyoke/tests/groups/switching/world.py
+++ b/packages/savoryyoke/tests/groups/switching/world.py
@@ -147,7 +147,7 @@
         if state.loading is not None:
             yield ('loaded', rank)
         if state.generation is not None:
-            if state.word is None:
+            if state.contribution is None:
                 yield ('contribute', rank)
             elif self._find_contributions(world, state) is not None:
                 yield ('complete', rank)
@@ -170,9 +170,9 @@
 
     def _find_contributions(self, world, state):
         contributions = [
-            word
-            for word, active in world.begun_steps
-            if _find_step(word) == _find_step(state)
+            contribution
+            for contribution, active in world.begun_steps
+            if _find_step(contribution) == _find_step(state)
         ]
         return (
             contributions if len(contributions) == len(world.engines) else None
@@ -227,9 +227,9 @@
         self._shift_steps()
         steps = set(map(_find_step, self.engines))
         self.begun_steps = {
-            (word, active)
-            for word, active in self.begun_steps
-            if _find_step(word) in steps
+            (contribution, active)
+            for contribution, active in self.begun_steps
+            if _find_step(contribution) in steps
         }
         fields = {}
         for name in self._names:
@@ -249,12 +249,14 @@
             dataclasses.replace(
                 state,
                 step=state.step - shift,
-                word=state.word and _shift(state.word, shift),
+                contribution=state.contribution
+                and _shift(state.contribution, shift),
             )
             for state in self.engines
         ]
         self.begun_steps = {
-            (_shift(word, shift), active) for word, active in self.begun_steps
+            (_shift(contribution, shift), active)
+            for contribution, active in self.begun_steps
         }
 
     def deliver(self, message):
@@ -287,34 +289,35 @@
 
     def contribute(self, rank):
         engine = engines.RankEngine(state=self.engines[rank])
-        word = engine.contribute()
+        contribution = engine.contribute()
         active = engine.state.active
-        for other, other_active in self.begun_steps:
+        for other_contribution, other_active in self.begun_steps:
             if (
-                _find_step(other) == _find_step(word)
+                _find_step(other_contribution) == _find_step(contribution)
                 and other_active != active
             ):
                 raise Violation('two maps in one step')
-        self.begun_steps.add((word, active))
+        self.begun_steps.add((contribution, active))
         self.store_engine(rank, engine, ())
 
     def fail(self, rank):
         engine = engines.RankEngine(state=self.engines[rank])
-        self.store_engine(rank, engine, engine.fail())
+        self.store_engine(rank, engine, engine.leave_generation())
 
     partition = fail
 
     def form(self):
         members = [engines.RankEngine(state=state) for state in self.engines]
         contributions = [
-            member.say_formation_word(nonce=self.faults) for member in members
+            member.make_formation_contribution(nonce=self.faults)
+            for member in members
         ]
         formation = barrier.form_group(contributions, declared=DECLARED)
         for rank in formation.missing_ranks:
             if contributions[rank].counter:
                 raise Violation('a survivor lacks the common map')
         for rank, member in enumerate(members):
-            self.store_engine(rank, member, member.enter(formation))
+            self.store_engine(rank, member, member.join_generation(formation))
         if formation.missing_ranks:
             return
         for driver_index in range(len(self.drivers)):
@@ -383,8 +386,8 @@
     return (state_or_word.generation, state_or_word.step)
 
 
-def _shift(word, shift):
-    return dataclasses.replace(word, step=word.step - shift)
+def _shift(contribution, shift):
+    return dataclasses.replace(contribution, step=contribution.step - shift)
 
 
 def _carry_out(order, engine):
