--- a/packages/savoryyoke/savoryyoke/groups/stragglers/evidence.py
+++ b/packages/savoryyoke/savoryyoke/groups/stragglers/evidence.py
@@ -40,7 +40,7 @@
 
     def __init__(self, *, ranks):
         """Start without reports."""
-        # Rows: count, load, time, load squared, load by time, time squared.
+        # Rows: sums of 1, load, time, load ** 2, load * time, time ** 2.
         self._sums = numpy.zeros((6, ranks))
         self._reported_s = None
 
--- a/packages/savoryyoke/tests/groups/rollout/world.py
+++ b/packages/savoryyoke/tests/groups/rollout/world.py
@@ -110,7 +110,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Process:
-    """Hold the agent process of one rank and, on one rank, the leader."""
+    """Hold the agent of one rank and its leader, if it has one."""
 
     agent: object
     leader: object = None
--- a/packages/savoryyoke/tests/groups/switching/test_schedules.py
+++ b/packages/savoryyoke/tests/groups/switching/test_schedules.py
@@ -53,7 +53,7 @@
     actions = list(simulator.list_rank_actions(world, rank))
     if generator.random() < 0.3:
         actions = simulator.list_shared_actions(world)
-        # The set of messages has no fixed order.
+        # Sets have no fixed order, so sort for the same choice on each run.
         actions.sort(key=repr)
     if not actions:
         return world
@@ -72,7 +72,7 @@
 
 
 def _run_script(simulator, world, script):
-    """Perform the actions of a script of ``action:rank`` words."""
+    """Perform the actions of a script of ``action:rank`` items."""
     for step in script.split():
         name, rank = step.split(':')
         actions = simulator.list_actions(world)
--- a/packages/savoryyoke/tests/groups/switching/world.py
+++ b/packages/savoryyoke/tests/groups/switching/world.py
@@ -186,7 +186,7 @@
         """
         transition = _Transition(world, self._agent_class)
         name, *arguments = action
-        if name not in _FREE_ACTIONS:
+        if name not in _FAULTLESS_ACTIONS:
             transition.faults -= 1
         if name == 'complete':
             self._complete(transition, world, *arguments)
@@ -206,7 +206,7 @@
         transition.store_engine(rank, engine, observed)
 
 
-_FREE_ACTIONS = frozenset(
+_FAULTLESS_ACTIONS = frozenset(
     'deliver order observe loaded contribute complete fail form '
     'propose'.split()
 )
