--- a/packages/savoryyoke/savoryyoke/groups/rollout/conf.py
+++ b/packages/savoryyoke/savoryyoke/groups/rollout/conf.py
@@ -26,8 +26,8 @@
 ORDER_RETRY_S = 0.15
 
 # Groups of up to this many ranks exchange maps and counts with the leader
-# directly, without blocks. On the largest sites the leader's VM has 4 Mbit/s,
-# a map takes 6 KB and a report of counts 5 KB.
+# directly, without blocks. On the users' enlarged sites, the leader's VM has
+# 4 Mbit/s, a map takes 6 KB and a report of counts 5 KB, so both fit at once.
 SMALL_GROUP_MAX_RANKS = 16
 
 # The low bits of a map's version are random, so that two leaders don't give
