--- a/packages/savoryyoke/savoryyoke/placement/__init__.py
+++ b/packages/savoryyoke/savoryyoke/placement/__init__.py
@@ -1,6 +1,7 @@
 """Choose a target for each request of a service, queue it, or refuse it.
 
-Feed a ``dispatcher.Dispatcher`` the events of ``events`` and carry out the
-decisions of ``decisions``. It answers the load of many entries in front of
-few targets: each entry counts what all entries have in flight.
+Pass the events of ``events`` to a ``dispatcher.Dispatcher`` and carry out the
+decisions of ``decisions`` that it returns. An entry is one instance of the
+load balancer. Many entries share few targets, so each entry counts the
+requests that all entries have in flight.
 """
--- a/packages/savoryyoke/savoryyoke/placement/addresses.py
+++ b/packages/savoryyoke/savoryyoke/placement/addresses.py
@@ -1,18 +1,18 @@
-"""Tell which published targets still have their address."""
+"""Find published targets whose address another target has taken over."""
 
 
 def drop_replaced(targets):
-    """Return the targets without those whose address has a new owner.
+    """Return the targets without those whose address was reassigned.
 
-    The entry of a target that died stays published for some seconds. When
-    another target is published at the same address meanwhile, the older
-    entry names a target that can't answer any more.
+    A target that died stays published for some seconds. When another target
+    is published at the same address in that time, only the one with the
+    higher revision can be reached.
     """
     newest_by_address = {}
     for target in targets:
         address = (target.host, target.port)
-        known = newest_by_address.get(address)
-        if known is None or known.revision < target.revision:
+        newest = newest_by_address.get(address)
+        if newest is None or newest.revision < target.revision:
             newest_by_address[address] = target
     return tuple(
         target
--- a/packages/savoryyoke/savoryyoke/placement/conf.py
+++ b/packages/savoryyoke/savoryyoke/placement/conf.py
@@ -1,43 +1,49 @@
-"""Defaults of placement."""
+"""Default settings of placement."""
 
 import dataclasses
 
-# Refused targets and entries that are full change within a pass of the
-# engines, which is 40 to 60 ms on the users' groups.
+# Time without requests for a target that refused one because it was full. An
+# engine frees slots within one step, which takes 40 to 60 ms on the users'
+# groups.
 BUSY_S = 0.1
 
 # A target that refuses connections is tried again after this time, which
-# doubles with each further failure; VMs restart within two to five seconds.
+# doubles with each further failure up to the longest one. VMs restart within
+# two to five seconds.
 UNREACHABLE_FIRST_S = 0.5
 UNREACHABLE_LONGEST_S = 4.0
 
-# An address that turned out to be another target's is left alone until the
-# list of targets, which lags by about two seconds, names it anew.
+# Time without requests for a target whose address turned out to belong to
+# another target. The published list lags by about two seconds; after that it
+# has the right address.
 MISDIRECTED_S = 2.0
 
-# A target may ask for a pause of any length. Five minutes are longer than
-# its machine needs to be replaced; a longer one is taken for a fault.
+# A target may request a pause of any length. Replacing its VM takes less than
+# five minutes, so a longer pause is treated as a fault and cut to this.
 PAUSE_LONGEST_S = 300.0
 
-# After a pause, each entry sends one request more at a time for each two
-# passes of the engines, and as many as there is room for after 64 steps.
+# After a pause, each entry raises its limit of concurrent requests to the
+# target by one every 0.1 s, which is two steps of an engine. After 64 such
+# increases the limit is lifted.
 PAUSE_RAMP_S = 0.1
 PAUSE_RAMP_STEPS = 64
 
-# Callers that were refused until the end of a pause return spread over this.
+# Callers that were refused until the end of a pause get retry times that are
+# spread over this interval after the end.
 PAUSE_RETURN_SPREAD_S = 0.3
 
-# A target is gone or published as leaving some seconds after it has said so;
-# until then entries that did not hear it go by the hints of others.
+# A leaving target is removed from the published list, or marked as draining
+# in it, some seconds after it has announced that it leaves. Until then,
+# entries without the announcement use the hints of other entries.
 HINT_MEMORY_S = 10.0
 HINTS_LIMIT = 32
 
-# Leaving incarnations that are remembered for a service: 1,300 targets that
-# are replaced three times, at 32 bytes and a key each.
+# Bounds the leaving incarnations that are stored for a service. Enough for
+# 1,300 targets that are replaced three times, at 32 bytes and a key each.
 NOTICES_LIMIT = 4096
 
-# Evidence of failures halves in this time, so that a recovered target is
-# tried again within a few seconds.
+# The failure rate of a target halves in this time, so that a recovered target
+# gets requests again within a few seconds.
 FAILURE_HALF_LIFE_S = 2.0
 
 # Weight of one result in the moving averages of failures and latencies.
@@ -46,34 +52,35 @@
 # A target with a failure rate of 0.5 scores like one that is full.
 FAILURE_PENALTY = 2.0
 
-# Part of the cold limit that entries hand out; the rest covers requests
-# that two entries send in the same instant.
+# Share of a service's cold limit (requests per second to one target) that the
+# entries use. The rest covers requests that two entries send at the same time.
 COLD_SHARE = 0.8
 COLD_WINDOW_S = 1.0
 
-# Callers honour a time to return of up to a third of what they have left.
+# Callers honour a retry time of up to a third of the time they have left.
 RETURN_SHARE_LIMIT = 1.0 / 3.0
 RETURN_EARLIEST_SHARE = 0.3
 RETURN_LATEST_S = 1.5
 
 # A group of engines that has lost a rank is out of service for two to five
-# seconds: its callers return late, but no later than that.
+# seconds, so its callers get later retry times, up to 3 s.
 OUTAGE_EARLIEST_SHARE = 0.7
 OUTAGE_LATEST_S = 3.0
 
-
-# Engines of a group advance together: a rank that takes this many times the
-# usual time gets nothing while most others are faster.
+# All engines of a group run each step together, at the speed of the slowest
+# rank. A rank whose steps take this many times the usual time gets no requests
+# while most ranks are faster.
 SLOW_PACE = 1.3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlacementPolicy:
-    """Tune placement for one kind of service.
+    """Hold the placement limits for one kind of service.
 
-    ``engine_requests_per_target`` bounds what all entries together have at
-    one engine. More requests lengthen the passes of every rank of a group:
-    it stays below the slots of the engine.
+    ``engine_requests_per_target`` limits the requests that all entries
+    together have in flight at one engine. It is lower than the number of
+    slots of an engine, because more requests lengthen the steps of every rank
+    of a group.
     """
 
     engine_requests_per_target: int = 6
--- a/packages/savoryyoke/savoryyoke/placement/decisions.py
+++ b/packages/savoryyoke/savoryyoke/placement/decisions.py
@@ -9,7 +9,8 @@
 class Place:
     """Send the request to the target.
 
-    ``in_flight`` counts what all entries are known to have there.
+    ``in_flight`` is the number of requests that all entries had in flight at
+    the target before this one, as far as this entry has been informed.
     """
 
     request_id: str
@@ -19,7 +20,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refuse:
-    """Refuse the request: it has not been sent by this placement."""
+    """Refuse the request without sending it to a target.
+
+    The caller should retry after ``retry_after_s`` seconds.
+    """
 
     request_id: str
     reason: models.RefusalReason
--- a/packages/savoryyoke/savoryyoke/placement/dispatcher.py
+++ b/packages/savoryyoke/savoryyoke/placement/dispatcher.py
@@ -1,4 +1,4 @@
-"""Decide where each request of a service goes, or that it must return."""
+"""Place, queue or refuse each request of a service."""
 
 import bisect
 import dataclasses
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Waiting:
-    """Hold a queued request; ``rank`` orders the queue."""
+    """Hold a queued request; a lower ``rank`` is placed earlier."""
 
     rank: tuple
     arrival: events.RequestArrived
@@ -25,16 +25,19 @@
 class Dispatcher:
     """Own the queue of one service at one entry.
 
-    Answers two loads. While targets have room, a request is placed at
-    once. Above that, those that can still be on time go first, and a
-    request whose turn is not expected within its wait is refused on
-    arrival, with a time to return that spreads callers out.
+    While targets have free capacity, a request is placed at once. Under
+    overload, requests that can still meet their objective are placed before
+    the others. A request that is not expected to leave the queue before its
+    wait ends is refused on arrival, with a retry time that spreads callers
+    out.
 
-    While no target is in service, such as a group of engines that forms
-    anew, requests that come for the first time are refused, to return when
-    the group may be back; those that have returned wait for it. While all
-    targets have asked for a pause, a request that can't wait for the end of
-    the first one is refused, to return then.
+    While no target is in service, for example while a group of engines
+    restarts, new requests are refused with a retry time at which the group
+    may be back. Retried requests wait in the queue. While all targets are
+    paused, a request that can't wait for the end of the earliest pause is
+    refused and retried after it.
+
+    ``draw`` returns a random number from 0 to 1.
     """
 
     def __init__(self, *, pool, draw):
@@ -42,7 +45,7 @@
         self._draw = draw
         self._queue = []
         self._sequence = 0
-        self._hold_s = None
+        self._mean_service_time_s = None
 
     @property
     def queue_length(self):
@@ -55,7 +58,10 @@
         return self._pool
 
     def apply(self, event, *, now_s):
-        """Take in an event and return the decisions that follow from it."""
+        """Apply an event and return the decisions that follow from it.
+
+        Raise ``UnknownEvent`` for an object that is not in ``events``.
+        """
         return tuple(self._apply(event, now_s))
 
     @functools.singledispatchmethod
@@ -65,23 +71,23 @@
     @_apply.register
     def _(self, event: events.TargetsChanged, now_s):
         self._pool.replace_targets(event.targets, now_s=now_s)
-        return self._pump(now_s)
+        return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.PeerReported, now_s):
         self._pool.note_peer(event.peer_id, event.requests_by_target_id)
-        return self._pump(now_s)
+        return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.PeerLost, now_s):
         self._pool.drop_peer(event.peer_id)
-        return self._pump(now_s)
+        return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.TryEnded, now_s):
         self._pool.release(event, now_s=now_s)
-        self._note_hold(event.held_s)
-        return self._pump(now_s)
+        self._record_service_time(event.held_s)
+        return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.TargetLeaving, now_s):
@@ -93,7 +99,7 @@
         self._pool.notices.note_pause(
             event.target, pause_s=event.pause_s, now_s=now_s
         )
-        return self._pump(now_s)
+        return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.LeavingHinted, now_s):
@@ -102,12 +108,14 @@
 
     @_apply.register
     def _(self, event: events.Ticked, now_s):
-        return self._pump(now_s)
+        return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.RequestWithdrawn, now_s):
         self._queue = [
-            x for x in self._queue if x.arrival.request_id != event.request_id
+            waiting
+            for waiting in self._queue
+            if waiting.arrival.request_id != event.request_id
         ]
         return ()
 
@@ -128,15 +136,17 @@
         if not self._pool.serves(
             regions=event.regions, withheld_releases=event.withheld_releases
         ):
-            return self._wait_for_service(event, now_s)
+            return self._handle_no_service(event, now_s)
         waiting = self._enqueue(event, now_s)
-        made = self._pump(now_s)
-        if waiting in self._queue and self._is_hopeless(waiting, now_s):
+        decided = self._process_queue(now_s)
+        if waiting in self._queue and self._would_wait_too_long(
+            waiting, now_s
+        ):
             self._queue.remove(waiting)
-            made.append(self._refuse(event, _Reason.QUEUE_TOO_LONG))
-        return made
+            decided.append(self._refuse(event, _Reason.QUEUE_TOO_LONG))
+        return decided
 
-    def _wait_for_service(self, event, now_s):
+    def _handle_no_service(self, event, now_s):
         if event.is_on_time or not self._pool.lists(regions=event.regions):
             return [self._refuse(event, _Reason.NO_TARGET)]
         self._enqueue(event, now_s)
@@ -146,32 +156,32 @@
         self._sequence += 1
         rank = (not event.is_on_time, event.priority, self._sequence)
         waiting = _Waiting(rank=rank, arrival=event)
-        bisect.insort(self._queue, waiting, key=lambda x: x.rank)
+        bisect.insort(self._queue, waiting, key=lambda queued: queued.rank)
         return waiting
 
-    def _pump(self, now_s):
-        """Refuse what has waited too long and place what finds room."""
-        made = []
-        left = []
+    def _process_queue(self, now_s):
+        """Refuse requests whose wait is over and place those that fit."""
+        decided = []
+        still_waiting = []
         for waiting in self._queue:
             arrival = waiting.arrival
             if now_s >= arrival.wait_until_s:
-                made.append(self._refuse(arrival, _Reason.WAITED_TOO_LONG))
+                decided.append(self._refuse(arrival, _Reason.WAITED_TOO_LONG))
                 continue
             target = self._pool.choose(
                 now_s=now_s,
                 regions=arrival.regions,
                 withheld_releases=arrival.withheld_releases,
             )
-            if target is None and self._outlasts_wait(arrival, now_s):
-                made.append(self._refuse_paused(arrival, now_s))
+            if target is None and self._is_paused_beyond_wait(arrival, now_s):
+                decided.append(self._refuse_paused(arrival, now_s))
                 continue
             if target is None:
-                left.append(waiting)
+                still_waiting.append(waiting)
                 continue
-            made.append(self._place(arrival.request_id, target, now_s))
-        self._queue = left
-        return made
+            decided.append(self._place(arrival.request_id, target, now_s))
+        self._queue = still_waiting
+        return decided
 
     def _place(self, request_id, target, now_s):
         in_flight = self._pool.in_flight(target.target_id)
@@ -180,8 +190,8 @@
             request_id=request_id, target=target, in_flight=in_flight
         )
 
-    def _outlasts_wait(self, arrival, now_s):
-        """Return whether all targets pause for longer than a request waits."""
+    def _is_paused_beyond_wait(self, arrival, now_s):
+        """Return whether every target is paused beyond a request's wait."""
         end_s = self._pause_end_s(arrival, now_s)
         return end_s is not None and end_s >= arrival.wait_until_s
 
@@ -193,32 +203,35 @@
         )
 
     def _refuse_paused(self, arrival, now_s):
-        left_s = self._pause_end_s(arrival, now_s) - now_s
+        pause_left_s = self._pause_end_s(arrival, now_s) - now_s
         return decisions.Refuse(
             request_id=arrival.request_id,
             reason=_Reason.ALL_PAUSED,
-            retry_after_s=left_s + self._draw() * conf.PAUSE_RETURN_SPREAD_S,
+            retry_after_s=pause_left_s
+            + self._draw() * conf.PAUSE_RETURN_SPREAD_S,
         )
 
-    def _is_hopeless(self, waiting, now_s):
-        """Return whether the queue moves too slowly for this request.
+    def _would_wait_too_long(self, waiting, now_s):
+        """Return whether a request is expected to wait too long.
 
-        Each of this entry's requests in flight frees a place after the
-        usual time that a try holds one.
+        The estimate assumes that each of this entry's requests in flight
+        completes within the mean service time.
         """
-        if self._hold_s is None:
+        if self._mean_service_time_s is None:
             return False
         position = self._queue.index(waiting) + 1
         in_flight = max(sum(self._pool.own_in_flight().values()), 1)
-        expected_wait_s = position * self._hold_s / in_flight
+        expected_wait_s = position * self._mean_service_time_s / in_flight
         return now_s + expected_wait_s > waiting.arrival.wait_until_s
 
-    def _note_hold(self, held_s):
+    def _record_service_time(self, held_s):
         if held_s is None:
             return
-        if self._hold_s is None:
-            self._hold_s = held_s
-        self._hold_s += conf.RESULT_WEIGHT * (held_s - self._hold_s)
+        if self._mean_service_time_s is None:
+            self._mean_service_time_s = held_s
+        self._mean_service_time_s += conf.RESULT_WEIGHT * (
+            held_s - self._mean_service_time_s
+        )
 
     def _refuse(self, event, reason):
         choose_return_s = returns.choose_return_s
--- a/packages/savoryyoke/savoryyoke/placement/events.py
+++ b/packages/savoryyoke/savoryyoke/placement/events.py
@@ -1,4 +1,4 @@
-"""Events of the placement of one service's requests."""
+"""Events that a ``Dispatcher`` of one service's requests handles."""
 
 import dataclasses
 
@@ -8,14 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetsChanged:
-    """Report the targets that may be used now."""
+    """Report the complete list of published targets."""
 
     targets: tuple[models.Target, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PeerReported:
-    """Report the requests that another entry has in flight."""
+    """Report how many requests another entry has in flight, by target id."""
 
     peer_id: str
     requests_by_target_id: dict[str, int]
@@ -23,20 +23,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PeerLost:
-    """Report that another entry is not heard any more."""
+    """Report that the heartbeats of another entry have stopped."""
 
     peer_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestArrived:
-    """Ask for a target.
-
-    Requests that can still meet their objective (``is_on_time``) go before
-    those that can't, then lower ``priority`` ranks before higher ones. The
-    request is refused when it is not placed by ``wait_until_s``.
-    ``time_left_s`` is what its caller has left. An empty ``regions`` allows
-    every region. Targets that run one of ``withheld_releases`` are left out.
+    """Request a target for a new request.
+
+    Requests that can still meet their objective (``is_on_time``) are placed
+    before those that can't, then those with a lower ``priority`` before those
+    with a higher one. A request that is not placed by ``wait_until_s``, a
+    time of the dispatcher's clock, is refused. ``time_left_s`` is the time
+    until the caller's deadline. An empty ``regions`` allows every region.
+    Targets that run one of ``withheld_releases`` are not used.
     """
 
     request_id: str
@@ -50,9 +51,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RepeatAsked:
-    """Ask for another target for a request that a target did not serve.
+    """Request a target for a retry, excluding ``tried_target_ids``.
 
-    Fields of the same name mean what they mean in ``RequestArrived``.
+    The other fields are those of ``RequestArrived``.
     """
 
     request_id: str
@@ -64,17 +65,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestWithdrawn:
-    """Report that a queued request needs no target any more."""
+    """Report that a queued request no longer needs a target."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TryEnded:
-    """Report the end of a try at a target.
+    """Report the end of a try, which is one sending of a request to a target.
 
-    ``latency_s`` is the time to the answer's head; None without one.
-    ``held_s`` is the whole time of a try that was answered, else None.
+    ``latency_s`` is the time to the head of the answer, or None if there was
+    none. ``held_s`` is the time to the end of the answer, or None if the try
+    was not answered.
     """
 
     target_id: str
@@ -86,14 +88,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetLeaving:
-    """Report that an answer of a target says that the target leaves."""
+    """Report that a target has announced in an answer that it leaves."""
 
     target: models.Target
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetPaused:
-    """Report that a target wants nothing for ``pause_s``."""
+    """Report that a target requests a pause of ``pause_s`` seconds."""
 
     target: models.Target
     pause_s: float
@@ -101,11 +103,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LeavingHinted:
-    """Report what another entry has heard of leaving targets."""
+    """Report the leaving targets that another entry has listed."""
 
     hints: tuple[notices.LeavingTarget, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Report that time has passed."""
+    """Report that time has passed, so that waits and pauses may be over."""
--- a/packages/savoryyoke/savoryyoke/placement/health.py
+++ b/packages/savoryyoke/savoryyoke/placement/health.py
@@ -1,72 +1,72 @@
-"""Judge a target by what its tries have shown."""
+"""Estimate the health of a target from the results of its tries."""
 
 from savoryyoke.placement import conf
 from savoryyoke.placement import models
 
 _Result = models.TryResult
-_FAILURES = frozenset(
+_FAILURE_RESULTS = frozenset(
     {_Result.FAILED, _Result.BROKEN, _Result.TIMED_OUT, _Result.REFUSED}
 )
 
 
 class TargetHealth:
-    """Own the evidence on one incarnation of a target."""
+    """Own the failure rate and latency of one incarnation of a target."""
 
     def __init__(self, *, now_s):
         self._failure_rate = 0.0
-        self._noted_s = now_s
+        self._updated_s = now_s
         self._latency_s = None
-        self._unreachable_in_row = 0
+        self._consecutive_unreachable = 0
         self._avoid_until_s = now_s
 
     @property
     def latency_s(self):
-        """Return the moving average of latencies, or None before any."""
+        """Return the moving average of latencies; None before the first."""
         return self._latency_s
 
     def failure_rate(self, *, now_s):
-        """Return the share of failures, fading with time."""
-        passed_s = max(now_s - self._noted_s, 0.0)
-        faded = 0.5 ** (passed_s / conf.FAILURE_HALF_LIFE_S)
-        return self._failure_rate * faded
+        """Return the share of failed tries, from 0 to 1; it decays."""
+        elapsed_s = max(now_s - self._updated_s, 0.0)
+        decay = 0.5 ** (elapsed_s / conf.FAILURE_HALF_LIFE_S)
+        return self._failure_rate * decay
 
     def is_avoided(self, *, now_s):
-        """Return whether the target gets nothing for the moment."""
+        """Return whether the target gets no requests at present."""
         return now_s < self._avoid_until_s
 
-    def note(self, result, *, latency_s, now_s):
-        """Take in the end of a try."""
-        # A target that asks for a pause is busy, not faulty.
+    def record(self, result, *, latency_s, now_s):
+        """Record the result of a try."""
+        # A target that requests a pause is busy, not faulty.
         if result in (_Result.WITHDRAWN, _Result.PAUSED):
             return
         rate = self.failure_rate(now_s=now_s)
-        failed = 1.0 if result in _FAILURES else 0.0
-        self._failure_rate = rate + conf.RESULT_WEIGHT * (failed - rate)
-        self._noted_s = now_s
+        failure = 1.0 if result in _FAILURE_RESULTS else 0.0
+        self._failure_rate = rate + conf.RESULT_WEIGHT * (failure - rate)
+        self._updated_s = now_s
         if latency_s is not None:
-            self._note_latency(latency_s)
-        self._avoid(result, now_s)
+            self._record_latency(latency_s)
+        self._avoid_after(result, now_s)
 
-    def _note_latency(self, latency_s):
+    def _record_latency(self, latency_s):
         if self._latency_s is None:
             self._latency_s = latency_s
             return
         change_s = latency_s - self._latency_s
         self._latency_s += conf.RESULT_WEIGHT * change_s
 
-    def _avoid(self, result, now_s):
+    def _avoid_after(self, result, now_s):
         if result is _Result.UNREACHABLE:
-            self._unreachable_in_row += 1
+            self._consecutive_unreachable += 1
             self._avoid_for(self._unreachable_pause_s(), now_s)
             return
-        self._unreachable_in_row = 0
+        self._consecutive_unreachable = 0
         if result is _Result.MISDIRECTED:
             self._avoid_for(conf.MISDIRECTED_S, now_s)
         elif result is _Result.REFUSED:
             self._avoid_for(conf.BUSY_S, now_s)
 
     def _unreachable_pause_s(self):
-        doublings = min(self._unreachable_in_row - 1, 8)
+        doublings = min(self._consecutive_unreachable - 1, 8)
         pause_s = conf.UNREACHABLE_FIRST_S * 2**doublings
         return min(pause_s, conf.UNREACHABLE_LONGEST_S)
 
--- a/packages/savoryyoke/savoryyoke/placement/lateness.py
+++ b/packages/savoryyoke/savoryyoke/placement/lateness.py
@@ -1,18 +1,22 @@
-"""Tell callers that have returned from those that ask anew."""
+"""Estimate how long callers have already waited for a request."""
 
 
 class CallerPatience:
-    """Estimate how much of its time a caller has used up before.
+    """Estimate the time that a caller has spent on earlier attempts.
 
-    Callers of a route wait equally long in all, so one that has less time
-    left than the longest seen has spent the difference on earlier tries.
+    All callers of a route have the same total timeout. A caller with less
+    time left than the longest time seen on the route has spent the difference
+    on earlier attempts.
     """
 
     def __init__(self):
         self._longest_s_by_route = {}
 
     def note(self, route_name, *, time_left_s):
-        """Take in a request and return the time spent before it."""
+        """Record a request and return the seconds spent before it.
+
+        Return 0 if the caller states no time (``time_left_s`` is None).
+        """
         if time_left_s is None:
             return 0.0
         longest_s = max(
--- a/packages/savoryyoke/savoryyoke/placement/models.py
+++ b/packages/savoryyoke/savoryyoke/placement/models.py
@@ -1,4 +1,4 @@
-"""Targets as they are published, and requests that wait for one."""
+"""Published targets, and the outcomes of tries and placements."""
 
 import dataclasses
 import enum
@@ -9,10 +9,10 @@
     """Describe one incarnation of a target.
 
     ``incarnation`` changes with each start of the target's process, and
-    ``revision`` is that of its published entry.
-    ``release`` names the version of what it runs.
-    ``is_in_service`` is false while it can't run anything, such as a rank
-    of a group that is not complete.
+    ``revision`` is the revision of its published value. ``release`` names the
+    software version that it runs. ``slots`` is the number of requests that it
+    runs at once. ``is_in_service`` is false while it can't run requests, for
+    example for a rank of an incomplete group.
     """
 
     target_id: str
@@ -30,9 +30,9 @@
 
 
 class TryResult(enum.Enum):
-    """Say how a try at a target ended.
+    """List the ways in which a try at a target ends.
 
-    ``PAUSED`` is a refusal by a target that asks for a pause.
+    ``PAUSED`` is a refusal by a target that requests a pause.
     """
 
     ANSWERED = 'answered'
@@ -47,7 +47,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Say why a request was refused."""
+    """List the reasons for the refusal of a request."""
 
     NO_TARGET = 'no-target'
     QUEUE_TOO_LONG = 'queue-too-long'
--- a/packages/savoryyoke/savoryyoke/placement/notices.py
+++ b/packages/savoryyoke/savoryyoke/placement/notices.py
@@ -1,4 +1,4 @@
-"""Remember what targets have said of themselves in their answers."""
+"""Store the notices that targets send with their answers."""
 
 import collections
 import dataclasses
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LeavingTarget:
-    """Name an incarnation of a target that leaves, seen ``age_s`` ago."""
+    """Name a leaving target whose notice arrived ``age_s`` seconds ago."""
 
     target_id: str
     incarnation: int
@@ -18,43 +18,49 @@
 class TargetNotices:
     """Own the notices of one service's targets, by incarnation.
 
-    A notice outlives the target's entry in the published list: the list may
-    be older than the notice, or lapse and come back. An incarnation that
-    leaves never gets a request again. One that asks for a pause gets none
-    until its end, and then one more at a time for each ``PAUSE_RAMP_S``, so
-    that what waits is not sent all at once.
+    A notice is a target's statement that it leaves or requests a pause. It
+    is kept even if the target disappears from the published list, because the
+    list may be older than the notice, or the target may be published again.
+    An incarnation that leaves never gets a request again. One that requests a
+    pause gets no requests until the pause ends. Then its limit of concurrent
+    requests grows by one every ``PAUSE_RAMP_S``, so that queued requests are
+    not sent all at once.
 
-    What other entries have heard of leaving targets is a hint, which lapses:
-    such a target comes last.
+    A hint is another entry's report of a leaving target. It expires after
+    ``HINT_MEMORY_S``; until then the target is used only as a last resort.
     """
 
     def __init__(self):
-        self._leaving_s_by_key = collections.OrderedDict()
-        self._hinted_s_by_key = collections.OrderedDict()
+        self._announced_s_by_key = collections.OrderedDict()
+        self._hint_announced_s_by_key = collections.OrderedDict()
         self._pause_ends_s_by_key = {}
 
     def note_leaving(self, target, *, now_s):
-        """Take in that a target leaves; return whether that is new."""
+        """Record that a target leaves; return whether that is new."""
         if self.is_leaving(target):
             return False
-        _put_bounded(self._leaving_s_by_key, _identify(target), now_s)
+        _put_newest(self._announced_s_by_key, _build_key(target), now_s)
         return True
 
     def note_hints(self, hints, *, now_s):
-        """Take in the ``LeavingTarget`` notices of another entry."""
+        """Record the ``LeavingTarget`` hints of another entry."""
         for hint in hints:
             key = (hint.target_id, hint.incarnation)
-            heard_s = now_s - max(hint.age_s, 0.0)
-            heard_s = max(heard_s, self._hinted_s_by_key.get(key, heard_s))
-            _put_bounded(self._hinted_s_by_key, key, heard_s)
+            announced_s = now_s - max(hint.age_s, 0.0)
+            announced_s = max(
+                announced_s,
+                self._hint_announced_s_by_key.get(key, announced_s),
+            )
+            _put_newest(self._hint_announced_s_by_key, key, announced_s)
 
     def note_pause(self, target, *, pause_s, now_s):
-        """Take in the pause that a target wants; return its end.
+        """Record a requested pause; return the time at which it ends.
 
-        The longest one counts, up to ``PAUSE_LONGEST_S``.
+        Of several pauses the latest end counts. A pause is limited to
+        ``PAUSE_LONGEST_S``.
         """
-        self._forget_pauses(now_s)
-        key = _identify(target)
+        self._remove_old_pauses(now_s)
+        key = _build_key(target)
         end_s = now_s + min(max(pause_s, 0.0), conf.PAUSE_LONGEST_S)
         end_s = max(end_s, self._pause_ends_s_by_key.get(key, end_s))
         self._pause_ends_s_by_key[key] = end_s
@@ -62,26 +68,29 @@
 
     @property
     def has_pauses(self):
-        """Return whether any target has asked for a pause lately."""
+        """Return whether any pause, current or recently ended, is stored."""
         return bool(self._pause_ends_s_by_key)
 
     def is_leaving(self, target):
-        """Return whether a target has said that it leaves."""
-        return _identify(target) in self._leaving_s_by_key
+        """Return whether a target has announced that it leaves."""
+        return _build_key(target) in self._announced_s_by_key
 
     def is_hinted(self, target, *, now_s):
-        """Return whether another entry has heard that a target leaves."""
-        heard_s = self._hinted_s_by_key.get(_identify(target))
-        return heard_s is not None and now_s - heard_s < conf.HINT_MEMORY_S
+        """Return whether an unexpired hint says that a target leaves."""
+        announced_s = self._hint_announced_s_by_key.get(_build_key(target))
+        return (
+            announced_s is not None
+            and now_s - announced_s < conf.HINT_MEMORY_S
+        )
 
     def pause_end_s(self, target, *, now_s):
-        """Return when a target's pause ends, or None if there is none."""
-        end_s = self._pause_ends_s_by_key.get(_identify(target))
+        """Return the end of a target's current pause, or None."""
+        end_s = self._pause_ends_s_by_key.get(_build_key(target))
         return end_s if end_s is not None and now_s < end_s else None
 
     def most_in_flight(self, target, *, now_s):
-        """Return what a target may get after a pause; None: no bound."""
-        end_s = self._pause_ends_s_by_key.get(_identify(target))
+        """Return the limit of requests in flight; None without a limit."""
+        end_s = self._pause_ends_s_by_key.get(_build_key(target))
         if end_s is None:
             return None
         if now_s < end_s:
@@ -89,22 +98,22 @@
         return 1 + int((now_s - end_s) / conf.PAUSE_RAMP_S)
 
     def hints(self, *, now_s):
-        """Return the newest ``LeavingTarget`` notices for other entries."""
+        """Return the newest own notices as hints for other entries."""
         newest = []
-        for key, seen_s in reversed(self._leaving_s_by_key.items()):
-            if now_s - seen_s >= conf.HINT_MEMORY_S:
+        for key, announced_s in reversed(self._announced_s_by_key.items()):
+            if now_s - announced_s >= conf.HINT_MEMORY_S:
                 break
             target_id, incarnation = key
             newest.append(
                 LeavingTarget(
                     target_id=target_id,
                     incarnation=incarnation,
-                    age_s=now_s - seen_s,
+                    age_s=now_s - announced_s,
                 )
             )
         return tuple(newest[: conf.HINTS_LIMIT])
 
-    def _forget_pauses(self, now_s):
+    def _remove_old_pauses(self, now_s):
         oldest_s = now_s - conf.PAUSE_RAMP_S * conf.PAUSE_RAMP_STEPS
         self._pause_ends_s_by_key = {
             key: end_s
@@ -113,12 +122,12 @@
         }
 
 
-def _identify(target):
+def _build_key(target):
     return (target.target_id, target.incarnation)
 
 
-def _put_bounded(values_by_key, key, value):
-    """Keep the newest notices, as many as ``NOTICES_LIMIT``."""
+def _put_newest(values_by_key, key, value):
+    """Store a value; drop the oldest ones beyond ``NOTICES_LIMIT``."""
     values_by_key[key] = value
     values_by_key.move_to_end(key)
     while len(values_by_key) > conf.NOTICES_LIMIT:
--- a/packages/savoryyoke/savoryyoke/placement/pool.py
+++ b/packages/savoryyoke/savoryyoke/placement/pool.py
@@ -1,4 +1,4 @@
-"""Know the targets of a service and rank them for the next request."""
+"""Track the targets of a service and choose one for each request."""
 
 import collections
 
@@ -8,37 +8,41 @@
 
 
 class _ColdRate:
-    """Bound what one entry sends to one target in a second.
+    """Limit the requests per second from one entry to one target.
 
-    Where an entry's share is below one request, each second draws anew
-    which entries may send one: rounding up would break the sum. Draws are
-    spread by themselves and need none of what ``COLD_SHARE`` keeps back.
+    If an entry's share is below one request per second, it decides at random
+    once per second whether it may send one. Rounding the share up would exceed
+    the total limit. Random decisions rarely coincide, so their probability
+    is not reduced by ``COLD_SHARE``.
     """
 
     def __init__(self):
-        self._sent_s = collections.deque()
-        self._window = None
-        self._is_drawn = False
-
-    def note_sent(self, now_s):
-        """Count a request."""
-        self._sent_s.append(now_s)
-
-    def has_room(self, rate_per_s, *, now_s, draw):
-        """Return whether a further request keeps to the rate."""
-        while self._sent_s and now_s - self._sent_s[0] > conf.COLD_WINDOW_S:
-            self._sent_s.popleft()
+        self._sent_times_s = collections.deque()
+        self._window_number = None
+        self._may_send_one = False
+
+    def record_sent(self, now_s):
+        """Record that a request is sent."""
+        self._sent_times_s.append(now_s)
+
+    def allows_request(self, rate_per_s, *, now_s, draw):
+        """Return whether a further request stays within the rate limit."""
+        while (
+            self._sent_times_s
+            and now_s - self._sent_times_s[0] > conf.COLD_WINDOW_S
+        ):
+            self._sent_times_s.popleft()
         if rate_per_s >= 1:
-            return len(self._sent_s) < rate_per_s
-        window = now_s // conf.COLD_WINDOW_S
-        if window != self._window:
-            self._window = window
-            self._is_drawn = draw() < rate_per_s / conf.COLD_SHARE
-        return self._is_drawn and not self._sent_s
+            return len(self._sent_times_s) < rate_per_s
+        window_number = now_s // conf.COLD_WINDOW_S
+        if window_number != self._window_number:
+            self._window_number = window_number
+            self._may_send_one = draw() < rate_per_s / conf.COLD_SHARE
+        return self._may_send_one and not self._sent_times_s
 
 
 class _TargetState:
-    """Hold what this entry knows of one incarnation of a target."""
+    """Hold this entry's state of one incarnation of a target."""
 
     def __init__(self, *, target, now_s):
         self.target = target
@@ -48,10 +52,11 @@
 
 
 class TargetPool:
-    """Own the targets of one service, as one entry sees them.
+    """Own the state of the targets of one service at one entry.
 
-    ``is_engine`` tells services whose targets batch requests from those
-    that serve each one by itself.
+    ``is_engine`` is true for a service whose targets are inference engines,
+    which process their requests in batches. ``draw`` returns a random number
+    from 0 to 1.
     """
 
     def __init__(self, *, policy, is_engine, own_data_centre, draw):
@@ -67,15 +72,22 @@
         self.notices = notices.TargetNotices()
 
     def set_cold_rate(self, rate_per_s):
-        """Bound what this entry sends a target in a second; None: no bound."""
+        """Set this entry's share of the cold limit, per second and target.
+
+        None removes the limit.
+        """
         self._cold_rate_per_s = rate_per_s
 
     def set_paces(self, paces_by_address):
-        """Take over the paces of slow targets; others have the usual one."""
+        """Set the paces of slow targets by address.
+
+        A pace is the ratio of a target's step time to the usual one. It is
+        1 for targets that are not listed.
+        """
         self._paces_by_address = paces_by_address
 
     def replace_targets(self, targets, *, now_s):
-        """Take over the published targets; keep evidence on known ones."""
+        """Set the published targets; keep the state of known incarnations."""
         states_by_id = {}
         for target in targets:
             state = self._states_by_id.get(target.target_id)
@@ -88,18 +100,18 @@
         self._states_by_id = states_by_id
 
     def note_peer(self, peer_id, requests_by_target_id):
-        """Take over what a peer has in flight."""
+        """Set the number of requests that a peer has in flight."""
         self.drop_peer(peer_id)
         self._requests_by_target_by_peer[peer_id] = requests_by_target_id
         self._peer_requests_by_target.update(requests_by_target_id)
 
     def drop_peer(self, peer_id):
-        """Forget what a peer had in flight."""
-        known = self._requests_by_target_by_peer.pop(peer_id, {})
-        for target_id, requests in known.items():
-            left = self._peer_requests_by_target[target_id] - requests
-            if left:
-                self._peer_requests_by_target[target_id] = left
+        """Remove the requests that a peer had in flight."""
+        reported = self._requests_by_target_by_peer.pop(peer_id, {})
+        for target_id, requests in reported.items():
+            remaining = self._peer_requests_by_target[target_id] - requests
+            if remaining:
+                self._peer_requests_by_target[target_id] = remaining
             else:
                 del self._peer_requests_by_target[target_id]
 
@@ -112,45 +124,50 @@
         }
 
     def holds_group_up(self, target_id):
-        """Return whether a target is slower than most of its group."""
+        """Return whether an engine is slower than most of its group."""
         state = self._states_by_id.get(target_id)
         if state is None or not self._is_engine:
             return False
-        return self._holds_group_up(state)
+        return self._slows_group_down(state)
 
     def in_flight(self, target_id):
-        """Return what all entries are known to have at a target."""
+        """Return the requests of all entries in flight at a target."""
         state = self._states_by_id.get(target_id)
         own = state.own_in_flight if state else 0
         return own + self._peer_requests_by_target[target_id]
 
     def take(self, target_id, *, now_s):
-        """Count a request that is sent to a target."""
+        """Record that a request is sent to a target."""
         state = self._states_by_id[target_id]
         state.own_in_flight += 1
-        state.cold_rate.note_sent(now_s)
+        state.cold_rate.record_sent(now_s)
 
     def release(self, event, *, now_s):
-        """Count the end of a try; ignore targets that have been replaced."""
+        """Record the ``TryEnded`` event of a request sent to a target.
+
+        An event of an earlier incarnation is ignored.
+        """
         state = self._states_by_id.get(event.target_id)
         if state is None or state.target.incarnation != event.incarnation:
             return
         state.own_in_flight = max(state.own_in_flight - 1, 0)
-        state.health.note(event.result, latency_s=event.latency_s, now_s=now_s)
+        state.health.record(
+            event.result, latency_s=event.latency_s, now_s=now_s
+        )
 
     def releases(self):
         """Return the releases that the targets run."""
-        return frozenset(x.target.release for x in self._all_states())
+        return frozenset(state.target.release for state in self._all_states())
 
     def serves(self, *, regions=frozenset(), withheld_releases=frozenset()):
-        """Return whether any target could run a request at all."""
+        """Return whether a target is in service, full or not."""
         return any(
-            self._is_usable(x, regions, withheld_releases)
-            for x in self._all_states()
+            self._is_usable(state, regions, withheld_releases)
+            for state in self._all_states()
         )
 
     def lists(self, *, regions=frozenset()):
-        """Return whether any target may come into service."""
+        """Return whether a listed target is or may come into service."""
         return any(
             not self._is_leaving(state.target)
             and (not regions or state.target.region in regions)
@@ -160,7 +177,10 @@
     def all_paused_until_s(
         self, *, now_s, regions=frozenset(), withheld_releases=frozenset()
     ):
-        """Return when the first pause ends; None if any target has none."""
+        """Return when the earliest pause ends.
+
+        Return None if there is no usable target, or if one is not paused.
+        """
         if not self.notices.has_pauses:
             return None
         ends_s = [
@@ -180,17 +200,17 @@
         excluded=frozenset(),
         withheld_releases=frozenset(),
     ):
-        """Return the best target with room, or None."""
-        ranked = [
+        """Return the best target with free capacity, or None."""
+        candidates = [
             (self._score(state, now_s), self._draw(), state.target)
             for state in self._all_states()
             if state.target.target_id not in excluded
             and self._is_usable(state, regions, withheld_releases)
-            and self._has_room(state, now_s)
+            and self._has_capacity(state, now_s)
         ]
-        if not ranked:
+        if not candidates:
             return None
-        return min(ranked, key=lambda item: item[:2])[2]
+        return min(candidates, key=lambda scored: scored[:2])[2]
 
     def _all_states(self):
         return self._states_by_id.values()
@@ -207,34 +227,36 @@
             and target.release not in withheld_releases
         )
 
-    def _has_room(self, state, now_s):
+    def _has_capacity(self, state, now_s):
         if state.health.is_avoided(now_s=now_s):
             return False
-        if not self._has_cold_room(state, now_s):
+        if not self._is_within_cold_rate(state, now_s):
             return False
-        most = self.notices.most_in_flight(state.target, now_s=now_s)
-        if most is not None and state.own_in_flight >= most:
+        limit = self.notices.most_in_flight(state.target, now_s=now_s)
+        if limit is not None and state.own_in_flight >= limit:
             return False
-        if self._is_engine and self._holds_group_up(state):
+        if self._is_engine and self._slows_group_down(state):
             return False
         target = state.target
         return self.in_flight(target.target_id) < self._limit(target)
 
-    def _holds_group_up(self, state):
-        """Return whether a rank is slower than most of its group."""
+    def _slows_group_down(self, state):
+        """Return whether a rank is slow while most of its group is not."""
         if not self._is_slow(state.target):
             return False
-        slow = sum(self._is_slow(x.target) for x in self._all_states())
-        return 2 * slow < len(self._states_by_id)
+        slow_count = sum(
+            self._is_slow(state.target) for state in self._all_states()
+        )
+        return 2 * slow_count < len(self._states_by_id)
 
     def _is_slow(self, target):
         address = f'{target.host}:{target.port}'
         return self._paces_by_address.get(address, 1.0) >= conf.SLOW_PACE
 
-    def _has_cold_room(self, state, now_s):
+    def _is_within_cold_rate(self, state, now_s):
         if self._cold_rate_per_s is None:
             return True
-        return state.cold_rate.has_room(
+        return state.cold_rate.allows_request(
             self._cold_rate_per_s, now_s=now_s, draw=self._draw
         )
 
@@ -244,28 +266,33 @@
         return target.slots
 
     def _score(self, state, now_s):
-        """Return a lower value for a better target.
+        """Return a tuple that sorts lower for a better target.
 
-        One that is said to leave comes last. Engines of a group advance
-        together, so only the even spread of requests counts. Other targets
-        rank by their expected answer time.
+        A target that a hint reports as leaving comes last. The engines of a
+        group run each step together, so they are compared by their share of
+        used capacity. Other targets are compared by their expected latency.
+        Both measures grow with the failure rate.
         """
         target = state.target
         in_flight = self.in_flight(target.target_id)
-        failures = state.health.failure_rate(now_s=now_s)
-        penalty = conf.FAILURE_PENALTY * failures
-        away = target.data_centre != self._own_data_centre
-        hinted = self.notices.is_hinted(target, now_s=now_s)
+        failure_rate = state.health.failure_rate(now_s=now_s)
+        failure_penalty = conf.FAILURE_PENALTY * failure_rate
+        is_remote = target.data_centre != self._own_data_centre
+        is_hinted = self.notices.is_hinted(target, now_s=now_s)
         if self._is_engine:
-            return (hinted, in_flight / self._limit(target) + penalty, away)
-        latency_s = state.health.latency_s or self._usual_latency_s()
-        expected_s = latency_s * (in_flight + 1) * (1 + 2 * penalty)
-        return (hinted, expected_s, away)
-
-    def _usual_latency_s(self):
-        known = [
+            return (
+                is_hinted,
+                in_flight / self._limit(target) + failure_penalty,
+                is_remote,
+            )
+        latency_s = state.health.latency_s or self._lowest_latency_s()
+        expected_s = latency_s * (in_flight + 1) * (1 + 2 * failure_penalty)
+        return (is_hinted, expected_s, is_remote)
+
+    def _lowest_latency_s(self):
+        latencies_s = [
             state.health.latency_s
             for state in self._all_states()
             if state.health.latency_s is not None
         ]
-        return min(known, default=1.0)
+        return min(latencies_s, default=1.0)
--- a/packages/savoryyoke/savoryyoke/placement/returns.py
+++ b/packages/savoryyoke/savoryyoke/placement/returns.py
@@ -1,13 +1,14 @@
-"""Choose when a refused caller should return."""
+"""Choose the retry time (Retry-After) of refused callers."""
 
 from savoryyoke.placement import conf
 
 
 def choose_return_s(*, time_left_s, draw):
-    """Return the time to wait, in seconds, within what callers honour.
+    """Return the seconds after which a refused caller should retry.
 
-    ``draw`` returns a number from 0 to 1; it spreads callers out that were
-    refused together.
+    The time is at most ``RETURN_SHARE_LIMIT`` of the caller's time left,
+    because callers don't honour more. ``draw`` returns a random number from 0
+    to 1; it spreads out callers that were refused together.
     """
     longest_s = min(
         time_left_s * conf.RETURN_SHARE_LIMIT, conf.RETURN_LATEST_S
@@ -16,7 +17,7 @@
 
 
 def choose_return_after_outage_s(*, time_left_s, draw):
-    """Return the time to wait while no target is in service, in seconds."""
+    """Return the seconds to the retry while no target is in service."""
     longest_s = min(
         time_left_s * conf.RETURN_SHARE_LIMIT, conf.OUTAGE_LATEST_S
     )
--- a/packages/savoryyoke/tests/placement/test_dispatcher.py
+++ b/packages/savoryyoke/tests/placement/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Test where requests are placed, and which are refused when."""
+"""Test the placement, queueing and refusal of requests."""
 
 import random
 import unittest
@@ -74,21 +74,24 @@
         )
         return self.apply(event, now_s)
 
-    def placed(self, made):
+    def placed(self, decided):
+        """Return the target id of each placed request, by request id."""
         return {
-            x.request_id: x.target.target_id
-            for x in made
-            if isinstance(x, decisions.Place)
+            decision.request_id: decision.target.target_id
+            for decision in decided
+            if isinstance(decision, decisions.Place)
         }
 
-    def refused(self, made):
+    def refused(self, decided):
+        """Return the reason of each refusal, by request id."""
         return {
-            x.request_id: x.reason
-            for x in made
-            if isinstance(x, decisions.Refuse)
+            decision.request_id: decision.reason
+            for decision in decided
+            if isinstance(decision, decisions.Refuse)
         }
 
     def fill(self):
+        """Use all slots of the two targets."""
         for number in range(4):
             self.arrive(f'fill-{number}')
 
@@ -108,30 +111,30 @@
         )
         self.assertEqual({'r': 't2'}, self.placed(self.arrive('r')))
 
-    def test_forgets_lost_peers(self):
+    def test_ignores_requests_of_lost_peers(self):
         self.apply(
             events.PeerReported(
                 peer_id='e2', requests_by_target_id={'t1': 2, 't2': 2}
             )
         )
         self.assertEqual({}, self.placed(self.arrive('r')))
-        made = self.apply(events.PeerLost(peer_id='e2'))
-        self.assertEqual({'r'}, set(self.placed(made)))
+        decided = self.apply(events.PeerLost(peer_id='e2'))
+        self.assertEqual({'r'}, set(self.placed(decided)))
 
-    def test_leaves_draining_targets_alone(self):
+    def test_does_not_use_draining_targets(self):
         self.publish(build_target(1, is_draining=True), build_target(2))
         self.assertEqual({'r': 't2'}, self.placed(self.arrive('r')))
 
-    def test_leaves_other_regions_alone(self):
+    def test_uses_only_targets_in_allowed_regions(self):
         self.publish(build_target(1, region='x'), build_target(2))
-        made = self.arrive('r', regions=frozenset({'x'}))
-        self.assertEqual({'r': 't1'}, self.placed(made))
+        decided = self.arrive('r', regions=frozenset({'x'}))
+        self.assertEqual({'r': 't1'}, self.placed(decided))
 
-    def test_leaves_withheld_releases_alone(self):
+    def test_does_not_use_withheld_releases(self):
         self.publish(build_target(1, release='v1'), build_target(2))
         withheld = frozenset({''})
-        made = self.arrive('r', withheld_releases=withheld)
-        self.assertEqual({'r': 't1'}, self.placed(made))
+        decided = self.arrive('r', withheld_releases=withheld)
+        self.assertEqual({'r': 't1'}, self.placed(decided))
         repeat = events.RepeatAsked(
             request_id='r',
             tried_target_ids=frozenset({'t1'}),
@@ -140,7 +143,7 @@
         )
         self.assertEqual({'r'}, set(self.refused(self.apply(repeat))))
 
-    def test_queued_request_leaves_withheld_releases_alone(self):
+    def test_queued_request_does_not_use_withheld_releases(self):
         self.publish(build_target(1, release='v1', slots=1))
         self.arrive('first')
         self.arrive('second', withheld_releases=frozenset({'v2'}))
@@ -148,17 +151,17 @@
             build_target(1, release='v1', slots=1),
             build_target(2, release='v2'),
         )
-        made = self.end('t1')
-        self.assertEqual({'second': 't1'}, self.placed(made))
+        decided = self.end('t1')
+        self.assertEqual({'second': 't1'}, self.placed(decided))
 
-    def test_unreachable_target_is_left_alone_for_a_while(self):
+    def test_unreachable_target_gets_nothing_for_a_while(self):
         self.end('t1', result=_Result.UNREACHABLE)
         for number in range(2):
-            made = self.arrive(f'r{number}', 0.1)
-            self.assertEqual('t2', self.placed(made)[f'r{number}'])
+            decided = self.arrive(f'r{number}', 0.1)
+            self.assertEqual('t2', self.placed(decided)[f'r{number}'])
         later_s = conf.UNREACHABLE_FIRST_S + 0.1
-        made = self.arrive('late', later_s)
-        self.assertEqual({'late': 't1'}, self.placed(made))
+        decided = self.arrive('late', later_s)
+        self.assertEqual({'late': 't1'}, self.placed(decided))
 
     def test_failing_target_gets_fewer_requests(self):
         for _ in range(6):
@@ -166,35 +169,35 @@
             self.end('t2', latency_s=0.01)
         chosen = []
         for number in range(10):
-            made = self.arrive(f'r{number}', 0.1)
-            target_id = self.placed(made)[f'r{number}']
+            decided = self.arrive(f'r{number}', 0.1)
+            target_id = self.placed(decided)[f'r{number}']
             chosen.append(target_id)
             self.end(target_id, 0.1, result=_Result.WITHDRAWN)
         self.assertEqual({'t2'}, set(chosen))
 
-    def test_failures_fade(self):
+    def test_failure_rate_decays(self):
         for _ in range(6):
             self.end('t1', result=_Result.FAILED, latency_s=0.01)
             self.end('t2', latency_s=0.0101)
         later_s = 10 * conf.FAILURE_HALF_LIFE_S
-        made = self.arrive('r', later_s)
-        self.assertEqual({'r': 't1'}, self.placed(made))
+        decided = self.arrive('r', later_s)
+        self.assertEqual({'r': 't1'}, self.placed(decided))
 
-    def test_new_incarnation_starts_with_a_clean_slate(self):
+    def test_new_incarnation_starts_without_failures(self):
         self.end('t1', result=_Result.UNREACHABLE)
         self.publish(build_target(1, incarnation=2))
         self.assertEqual({'r': 't1'}, self.placed(self.arrive('r')))
 
     def test_repeat_avoids_tried_targets(self):
-        made = self.apply(
+        decided = self.apply(
             events.RepeatAsked(
                 request_id='r',
                 tried_target_ids=frozenset({'t1'}),
                 time_left_s=1.0,
             )
         )
-        self.assertEqual({'r': 't2'}, self.placed(made))
-        made = self.apply(
+        self.assertEqual({'r': 't2'}, self.placed(decided))
+        decided = self.apply(
             events.RepeatAsked(
                 request_id='r',
                 tried_target_ids=frozenset({'t1', 't2'}),
@@ -202,36 +205,39 @@
             )
         )
         self.assertEqual(
-            {'r': models.RefusalReason.NO_OTHER_TARGET}, self.refused(made)
+            {'r': models.RefusalReason.NO_OTHER_TARGET}, self.refused(decided)
         )
 
 
 class ColdLimitTests(DispatcherCase):
-    def test_bounds_requests_to_a_target_in_a_second(self):
+    def test_limits_requests_to_a_target_per_second(self):
         self.publish(build_target(1, slots=100))
         self.dispatcher.pool.set_cold_rate(3.0)
         for number in range(3):
             self.assertTrue(self.placed(self.arrive(f'r{number}')))
         self.assertFalse(self.placed(self.arrive('r3')))
-        made = self.arrive('r4', 1.1)
-        self.assertIn('r4', self.placed(made))
+        decided = self.arrive('r4', 1.1)
+        self.assertIn('r4', self.placed(decided))
 
 
 class EngineTests(DispatcherCase):
-    def test_bound_below_the_slots(self):
+    def test_limit_below_the_slots(self):
         self.build(is_engine=True, per_target=1)
         self.publish(build_target(1, slots=6))
         self.assertTrue(self.placed(self.arrive('r0')))
         self.assertFalse(self.placed(self.arrive('r1')))
 
-    def test_prefers_the_own_data_centre_among_equals(self):
+    def test_prefers_own_data_centre_among_equal_targets(self):
         self.build(is_engine=True)
         self.publish(build_target(1, data_centre='dc-b'), build_target(2))
         self.assertEqual({'r': 't2'}, self.placed(self.arrive('r')))
 
 
 class SlowRankTests(DispatcherCase):
-    """Ranks of a group advance together, at the pace of the slowest."""
+    """Test that slow ranks get no requests.
+
+    Ranks of a group run each step together, at the speed of the slowest.
+    """
 
     def setUp(self):
         super().setUp()
@@ -239,10 +245,11 @@
         self.publish(*(build_target(number, slots=6) for number in range(4)))
 
     def chosen(self):
+        """Return the ids of the targets that get eight requests."""
         ids = set()
         for number in range(8):
-            made = self.arrive(f'r{number}')
-            ids |= set(self.placed(made).values())
+            decided = self.arrive(f'r{number}')
+            ids |= set(self.placed(decided).values())
         return ids
 
     def test_slow_rank_gets_nothing(self):
@@ -265,25 +272,25 @@
         super().setUp()
         self.fill()
 
-    def test_request_waits_for_room(self):
+    def test_request_waits_for_a_free_slot(self):
         self.assertEqual((), self.arrive('r'))
-        made = self.end('t1', 0.1)
-        self.assertEqual({'r': 't1'}, self.placed(made))
+        decided = self.end('t1', 0.1)
+        self.assertEqual({'r': 't1'}, self.placed(decided))
 
-    def test_request_is_refused_after_its_wait(self):
+    def test_request_is_refused_when_its_wait_ends(self):
         self.arrive('r')
-        made = self.apply(events.Ticked(), 0.2)
+        decided = self.apply(events.Ticked(), 0.2)
         self.assertEqual(
-            {'r': models.RefusalReason.WAITED_TOO_LONG}, self.refused(made)
+            {'r': models.RefusalReason.WAITED_TOO_LONG}, self.refused(decided)
         )
         self.assertEqual(0, self.dispatcher.queue_length)
 
-    def test_those_on_time_go_first(self):
+    def test_requests_on_time_are_placed_first(self):
         self.arrive('late', is_on_time=False)
         self.arrive('on-time')
         self.assertEqual({'on-time'}, set(self.placed(self.end('t1', 0.1))))
 
-    def test_lower_ranks_go_first_among_those_on_time(self):
+    def test_lower_priority_number_is_placed_first(self):
         self.arrive('low', priority=2)
         self.arrive('high', priority=0)
         self.assertEqual({'high'}, set(self.placed(self.end('t1', 0.1))))
@@ -293,122 +300,123 @@
         self.apply(events.RequestWithdrawn(request_id='r'))
         self.assertEqual((), self.end('t1', 0.1))
 
-    def test_hopeless_request_is_refused_on_arrival(self):
+    def test_request_behind_a_long_queue_is_refused_on_arrival(self):
         self.end('t1', held_s=1.0)
         self.arrive('fill-again')
         self.arrive('first', wait_until_s=9.0)
-        made = self.arrive('r')
+        decided = self.arrive('r')
         self.assertEqual(
-            {'r': models.RefusalReason.QUEUE_TOO_LONG}, self.refused(made)
+            {'r': models.RefusalReason.QUEUE_TOO_LONG}, self.refused(decided)
         )
 
-    def test_time_to_return_is_within_what_callers_honour(self):
+    def test_retry_time_is_within_what_callers_honour(self):
         self.end('t1', held_s=1.0)
         self.arrive('fill-again')
         self.arrive('first', wait_until_s=9.0)
-        self.check_times_to_return(conf.RETURN_LATEST_S)
+        self.check_retry_times(conf.RETURN_LATEST_S)
 
-    def test_time_to_return_after_an_outage(self):
+    def test_retry_time_during_an_outage(self):
         self.publish()
-        self.check_times_to_return(conf.OUTAGE_LATEST_S)
+        self.check_retry_times(conf.OUTAGE_LATEST_S)
 
-    def check_times_to_return(self, latest_s):
+    def check_retry_times(self, latest_s):
         for time_left_s in (0.3, 3.0, 60.0):
-            made = self.arrive('r', time_left_s=time_left_s)
-            self.assertLessEqual(made[0].retry_after_s, time_left_s / 3)
-            self.assertLessEqual(made[0].retry_after_s, latest_s)
-            self.assertGreater(made[0].retry_after_s, 0)
+            decided = self.arrive('r', time_left_s=time_left_s)
+            self.assertLessEqual(decided[0].retry_after_s, time_left_s / 3)
+            self.assertLessEqual(decided[0].retry_after_s, latest_s)
+            self.assertGreater(decided[0].retry_after_s, 0)
 
 
 class NoTargetTests(DispatcherCase):
-    def test_late_request_waits_for_targets_that_are_listed(self):
+    def test_late_request_waits_for_a_listed_target(self):
         self.publish(build_target(1, is_in_service=False))
         self.assertEqual((), self.arrive('r', is_on_time=False))
-        made = self.publish(build_target(1), now_s=0.1)
-        self.assertEqual({'r': 't1'}, self.placed(made))
+        decided = self.publish(build_target(1), now_s=0.1)
+        self.assertEqual({'r': 't1'}, self.placed(decided))
 
-    def test_late_request_is_refused_when_no_target_came(self):
+    def test_late_request_is_refused_when_its_wait_ends(self):
         self.publish(build_target(1, is_in_service=False))
         self.arrive('r', is_on_time=False)
-        made = self.apply(events.Ticked(), now_s=0.2)
+        decided = self.apply(events.Ticked(), now_s=0.2)
         self.assertEqual(
-            {'r': models.RefusalReason.WAITED_TOO_LONG}, self.refused(made)
+            {'r': models.RefusalReason.WAITED_TOO_LONG}, self.refused(decided)
         )
 
-    def test_late_request_is_refused_where_no_target_may_come(self):
+    def test_late_request_is_refused_if_all_targets_drain(self):
         self.publish(build_target(1, is_in_service=False, is_draining=True))
-        made = self.arrive('r', is_on_time=False)
+        decided = self.arrive('r', is_on_time=False)
         self.assertEqual(
-            {'r': models.RefusalReason.NO_TARGET}, self.refused(made)
+            {'r': models.RefusalReason.NO_TARGET}, self.refused(decided)
         )
 
-    def test_refused_at_once(self):
+    def test_request_on_time_is_refused_at_once(self):
         self.publish(build_target(1, is_in_service=False))
-        made = self.arrive('r')
+        decided = self.arrive('r')
         self.assertEqual(
-            {'r': models.RefusalReason.NO_TARGET}, self.refused(made)
+            {'r': models.RefusalReason.NO_TARGET}, self.refused(decided)
         )
 
 
 class OutageTests(DispatcherCase):
-    """Play callers with one return through an outage of a whole group."""
+    """Simulate callers that retry once during an outage of a whole group."""
 
     DEADLINE_S = 8.0
     ARRIVALS_PER_S = 4.0
     RUN_S = 0.4
 
-    def play(self, outage_s, *, seconds=16.0):
-        """Return how many callers were served, and of how many.
+    def simulate(self, outage_s, *, seconds=16.0):
+        """Return the number of callers served and the number of callers.
 
-        The group is out from second 2 on. Callers come back once, when told.
+        The group is out of service for ``outage_s`` from second 2 on. A
+        refused caller retries once, after the time in the refusal.
         """
         self.build(is_engine=True)
         due = [
             (number / self.ARRIVALS_PER_S, number, True)
             for number in range(int(seconds * self.ARRIVALS_PER_S))
         ]
-        asked, served, ends = len(due), 0, []
-        is_open = None
+        callers, served, ends = len(due), 0, []
+        was_in_service = None
         for tick in range(int((seconds + self.DEADLINE_S) * 50)):
             now_s = tick / 50
-            opens = not 2.0 <= now_s < 2.0 + outage_s
-            made = []
-            if opens is not is_open:
-                is_open = opens
-                made += self.publish(
-                    build_target(1, slots=4, is_in_service=opens),
-                    build_target(2, slots=4, is_in_service=opens),
+            is_in_service_now = not 2.0 <= now_s < 2.0 + outage_s
+            decided = []
+            if is_in_service_now is not was_in_service:
+                was_in_service = is_in_service_now
+                decided += self.publish(
+                    build_target(1, slots=4, is_in_service=is_in_service_now),
+                    build_target(2, slots=4, is_in_service=is_in_service_now),
                     now_s=now_s,
                 )
             while ends and ends[0][0] <= now_s:
                 _, target_id = ends.pop(0)
-                made += self.end(target_id, now_s, held_s=self.RUN_S)
-            made += self.apply(events.Ticked(), now_s)
+                decided += self.end(target_id, now_s, held_s=self.RUN_S)
+            decided += self.apply(events.Ticked(), now_s)
             while due and due[0][0] <= now_s:
                 _, number, is_first = due.pop(0)
-                made += self.arrive(
+                decided += self.arrive(
                     f'{number}-{is_first}',
                     now_s,
                     is_on_time=is_first,
                     wait_until_s=now_s + (0.2 if is_first else 1.1),
                     time_left_s=self.DEADLINE_S,
                 )
-            for decision in made:
-                number, _, word = decision.request_id.partition('-')
+            for decision in decided:
+                number, _, is_first_text = decision.request_id.partition('-')
                 if isinstance(decision, decisions.Place):
                     served += 1
                     target_id = decision.target.target_id
                     ends.append((now_s + self.RUN_S, target_id))
-                elif word == 'True':
+                elif is_first_text == 'True':
                     due.append(
                         (now_s + decision.retry_after_s, int(number), False)
                     )
             due.sort()
-        return served, asked
+        return served, callers
 
-    def test_callers_outlast_an_outage_of_three_seconds(self):
-        served, asked = self.play(3.0)
-        self.assertEqual(asked, served)
+    def test_all_callers_are_served_despite_three_seconds_of_outage(self):
+        served, callers = self.simulate(3.0)
+        self.assertEqual(callers, served)
 
 
 class UnknownEventTests(DispatcherCase):
@@ -418,21 +426,21 @@
 
 
 class PeerCountTests(DispatcherCase):
-    """Test the running sum of what peers have in flight."""
+    """Test the running sum of the requests that peers have in flight."""
 
-    def test_agrees_with_the_newest_reports(self):
-        source = random.Random(_SEED)
+    def test_equals_the_sum_of_the_newest_reports(self):
+        random_source = random.Random(_SEED)
         pool_ = self.dispatcher.pool
         newest_by_peer = {}
         for _ in range(2000):
-            peer_id = f'e{source.randrange(20)}'
-            if source.random() < 0.2:
+            peer_id = f'e{random_source.randrange(20)}'
+            if random_source.random() < 0.2:
                 newest_by_peer.pop(peer_id, None)
                 self.apply(events.PeerLost(peer_id=peer_id))
             else:
                 reported = {
-                    f't{number}': source.randrange(1, 4)
-                    for number in source.sample(range(6), 3)
+                    f't{number}': random_source.randrange(1, 4)
+                    for number in random_source.sample(range(6), 3)
                 }
                 newest_by_peer[peer_id] = reported
                 self.apply(
@@ -443,6 +451,7 @@
             for number in range(6):
                 target_id = f't{number}'
                 expected = sum(
-                    x.get(target_id, 0) for x in newest_by_peer.values()
+                    report.get(target_id, 0)
+                    for report in newest_by_peer.values()
                 )
                 self.assertEqual(expected, pool_.in_flight(target_id))
--- a/packages/savoryyoke/tests/placement/test_lateness.py
+++ b/packages/savoryyoke/tests/placement/test_lateness.py
@@ -1,4 +1,4 @@
-"""Test the estimate of the time that callers have spent before."""
+"""Test the estimate of the time spent on earlier attempts."""
 
 import unittest
 
@@ -12,13 +12,13 @@
     def test_first_request_of_a_route_has_spent_nothing(self):
         self.assertEqual(0, self.patience.note('r', time_left_s=8.0))
 
-    def test_returning_caller_has_spent_the_difference(self):
+    def test_retrying_caller_has_spent_the_difference(self):
         self.patience.note('r', time_left_s=8.0)
         self.assertAlmostEqual(0.7, self.patience.note('r', time_left_s=7.3))
 
-    def test_routes_are_kept_apart(self):
+    def test_routes_are_independent(self):
         self.patience.note('r', time_left_s=8.0)
         self.assertEqual(0, self.patience.note('s', time_left_s=1.5))
 
-    def test_caller_that_states_no_time(self):
+    def test_caller_that_states_no_time_has_spent_nothing(self):
         self.assertEqual(0, self.patience.note('r', time_left_s=None))
