--- a/packages/savoryyoke/savoryyoke/streams/__init__.py
+++ b/packages/savoryyoke/savoryyoke/streams/__init__.py
@@ -1,5 +1,5 @@
-"""Reassemble an answer that arrives in pieces from one or more targets.
+"""Reassemble an answer that arrives in chunks from one or more targets.
 
-Feed an ``assembly.Assembly`` the events of ``events`` and carry out the
-decisions of ``decisions``.
+Pass the events of ``events`` to an ``assembly.Assembly`` and carry out the
+decisions of ``decisions`` that it returns.
 """
--- a/packages/savoryyoke/savoryyoke/streams/conf.py
+++ b/packages/savoryyoke/savoryyoke/streams/conf.py
@@ -1,5 +1,5 @@
-"""Defaults of the reassembly of answers."""
+"""Default settings of the reassembly of answers."""
 
 RESUMES_LIMIT = 3
-KEPT_LIMIT_BYTES = 1024 * 1024
+RESUME_BUFFER_LIMIT_BYTES = 1024 * 1024
 EVENT_SEPARATOR = b'\n\n'
--- a/packages/savoryyoke/savoryyoke/streams/decisions.py
+++ b/packages/savoryyoke/savoryyoke/streams/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on an answer in pieces."""
+"""Decisions on an answer that arrives in chunks."""
 
 import dataclasses
 
@@ -19,14 +19,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finish:
-    """End the answer: it is whole."""
+    """End the answer, which is complete."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Resume:
-    """Ask another target to go on after ``index`` delivered events.
+    """Resume the answer at another target after ``index`` delivered events.
 
-    ``attempt`` is the number of the new try.
+    ``attempt`` is the number of the new attempt.
     """
 
     attempt: int
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fail:
-    """Give the answer up; ``started`` tells if the caller saw any of it."""
+    """Abort the answer; ``started`` is true if its status was sent."""
 
     reason: str
     started: bool
--- a/packages/savoryyoke/savoryyoke/streams/events.py
+++ b/packages/savoryyoke/savoryyoke/streams/events.py
@@ -1,7 +1,7 @@
-"""Events of an answer in pieces.
+"""Events of an answer that arrives in chunks.
 
-``attempt`` numbers the tries of one request from 0; pieces of an attempt
-that was given up are late and change nothing.
+``attempt`` numbers the attempts of one request from 0. Events of an attempt
+other than the current one have no effect.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChunkReceived:
-    """Report ``count`` events that start with number ``index``."""
+    """Report ``count`` events of the answer, from number ``index`` on."""
 
     attempt: int
     index: int
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AttemptBroken:
-    """Report that no more of an attempt's answer will come."""
+    """Report that the rest of an attempt's answer will not arrive."""
 
     attempt: int
     reason: str
--- a/packages/savoryyoke/savoryyoke/streams/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/streams/exceptions.py
@@ -2,11 +2,11 @@
 
 
 class StreamError(Exception):
-    """Describe a fault of this package; the base of its errors."""
+    """Serve as the base class of this package's errors."""
 
 
 class UnknownEvent(StreamError):
-    """Report an event that the aggregate does not know."""
+    """Report an event of a type that the assembly does not handle."""
 
     def __init__(self, *, event):
         super().__init__(f'unknown event {type(event).__name__}')
--- a/packages/savoryyoke/tests/streams/test_assembly.py
+++ b/packages/savoryyoke/tests/streams/test_assembly.py
@@ -10,7 +10,7 @@
 from savoryyoke.streams import events
 
 EXAMPLES = 400
-FIXED = hypothesis.settings(
+DETERMINISTIC = hypothesis.settings(
     derandomize=True, deadline=None, max_examples=EXAMPLES
 )
 
@@ -22,61 +22,63 @@
     )
 
 
-class ForgetfulAssembly(assembly.Assembly):
-    """Deliver what was delivered before: a mutation for the tests."""
+class RepeatingAssembly(assembly.Assembly):
+    """Deliver events again that were delivered before, as a faulty variant."""
 
     def _skip_delivered(self, event):
         return event.data
 
 
-class TrustingAssembly(assembly.Assembly):
-    """Take pieces of any attempt: a mutation for the tests."""
+class AnyAttemptAssembly(assembly.Assembly):
+    """Accept events of any attempt, as a faulty variant."""
 
-    def _is_late(self, event):
-        return self._closed
+    def _is_outdated(self, event):
+        return self._is_closed
 
 
-class CarelessAssembly(assembly.Assembly):
-    """Finish without comparing the total: a mutation for the tests."""
+class UncheckedEndAssembly(assembly.Assembly):
+    """Finish without checking the number of events, as a faulty variant."""
 
     def apply(self, event):
-        if isinstance(event, events.EndReceived) and not self._closed:
-            self._closed = True
+        if isinstance(event, events.EndReceived) and not self._is_closed:
+            self._is_closed = True
             return (decisions.Finish(),)
         return super().apply(event)
 
 
-def replay(subject, total, script):
-    """Run a script of attempts and return what the caller saw.
+def replay(answer_assembly, total, script):
+    """Simulate attempts and return the bytes sent to the caller.
 
-    Each attempt sends from where it was asked to; ``script`` says how far
-    it gets, how its chunks overlap, and which of them cross with those of
-    the attempt before. The result is (bytes, finished, failed).
+    Each item of ``script`` describes one attempt as a tuple: how many events
+    it sends from the requested one on, by how many events its chunks overlap,
+    and whether the last events of the attempt before arrive between its own.
+    ``total`` is the number of events of the whole answer. The result is a
+    tuple (bytes, finished, failed).
     """
-    seen = b''
+    received = b''
     finished = failed = False
-    attempt, start, late = 0, 0, []
+    attempt, start, earlier_events = 0, 0, []
     queue = []
-    for reach, overlap, cross in script:
-        stop = min(total, start + reach)
+    for event_count, overlap, is_interleaved in script:
+        end = min(total, start + event_count)
         queue.append(events.HeadReceived(attempt=attempt, status=200))
-        for index in range(start, stop):
+        for index in range(start, end):
             first = max(start, index - overlap)
             queue.append(make_chunk(attempt, first, index - first + 1))
-        if cross:
+        if is_interleaved:
             queue = [
-                item for pair in zip(late, queue) for item in pair
+                event for pair in zip(earlier_events, queue) for event in pair
             ] + queue
-        late = queue[-3:]
-        if stop == total:
+        earlier_events = queue[-3:]
+        if end == total:
             queue.append(events.EndReceived(attempt=attempt, total=total))
         else:
             queue.append(events.AttemptBroken(attempt=attempt, reason='cut'))
         for event in queue:
-            for decision in subject.apply(event):
+            for decision in answer_assembly.apply(event):
                 match decision:
                     case decisions.Deliver():
-                        seen += decision.data
+                        received += decision.data
                     case decisions.Finish():
                         finished = True
                     case decisions.Fail():
@@ -86,10 +88,10 @@
         queue = []
         if finished or failed:
             break
-    return seen, finished, failed
+    return received, finished, failed
 
 
-STEPS = strategies.lists(
+SCRIPTS = strategies.lists(
     strategies.tuples(
         strategies.integers(0, 6),
         strategies.integers(0, 3),
@@ -101,76 +103,84 @@
 
 
 class AssemblyTests(unittest.TestCase):
-    """Test that an answer is whole or fails."""
+    """Test that an answer is delivered completely or fails."""
 
-    @FIXED
-    @hypothesis.given(strategies.integers(1, 12), STEPS)
-    def test_caller_sees_a_prefix_and_finishes_only_on_the_whole(
+    @DETERMINISTIC
+    @hypothesis.given(strategies.integers(1, 12), SCRIPTS)
+    def test_caller_gets_a_prefix_and_finish_only_for_the_whole_answer(
         self, total, script
     ):
         whole = make_chunk(0, 0, total).data
-        subject = assembly.Assembly(resumable=True)
-        seen, finished, failed = replay(subject, total, script)
-        self.assertTrue(whole.startswith(seen))
+        answer_assembly = assembly.Assembly(resumable=True)
+        received, finished, failed = replay(answer_assembly, total, script)
+        self.assertTrue(whole.startswith(received))
         self.assertFalse(finished and failed)
         if finished:
-            self.assertEqual(whole, seen)
+            self.assertEqual(whole, received)
 
-    def test_mutations_are_caught(self):
-        # Attempts overlap their own chunks, and late chunks of the first
-        # attempt cross with those of the second.
+    def test_faulty_variants_are_detected(self):
+        # The chunks of each attempt overlap, and events of the first attempt
+        # arrive between those of the second.
         whole = make_chunk(0, 0, 5).data
         script = [(3, 2, False), (5, 1, True)]
-        good = replay(assembly.Assembly(resumable=True), 5, script)
-        self.assertEqual((whole, True, False), good)
-        forgetful = replay(ForgetfulAssembly(resumable=True), 5, script)
-        self.assertNotEqual(whole, forgetful[0])
-        careless = CarelessAssembly(resumable=True)
-        careless.apply(events.HeadReceived(attempt=0, status=200))
+        correct = replay(assembly.Assembly(resumable=True), 5, script)
+        self.assertEqual((whole, True, False), correct)
+        repeating = replay(RepeatingAssembly(resumable=True), 5, script)
+        self.assertNotEqual(whole, repeating[0])
+        unchecked_end = UncheckedEndAssembly(resumable=True)
+        unchecked_end.apply(events.HeadReceived(attempt=0, status=200))
         end = events.EndReceived(attempt=0, total=3)
-        self.assertEqual((decisions.Finish(),), careless.apply(end))
+        self.assertEqual((decisions.Finish(),), unchecked_end.apply(end))
 
-    def test_end_before_the_last_event_is_not_an_end(self):
-        subject = assembly.Assembly(resumable=False)
-        subject.apply(events.HeadReceived(attempt=0, status=200))
-        subject.apply(make_chunk(0, 0, 2))
+    def test_answer_that_ends_before_its_last_event_fails(self):
+        answer_assembly = assembly.Assembly(resumable=False)
+        answer_assembly.apply(events.HeadReceived(attempt=0, status=200))
+        answer_assembly.apply(make_chunk(0, 0, 2))
         self.assertEqual(
             (decisions.Fail(reason='truncated', started=True),),
-            subject.apply(events.EndReceived(attempt=0, total=3)),
+            answer_assembly.apply(events.EndReceived(attempt=0, total=3)),
         )
 
-    def test_late_pieces_of_a_given_up_attempt_change_nothing(self):
-        for kind in (assembly.Assembly, TrustingAssembly):
-            subject = kind(resumable=True)
-            subject.apply(events.HeadReceived(attempt=0, status=200))
-            subject.apply(make_chunk(0, 0, 2))
-            subject.apply(events.AttemptBroken(attempt=0, reason='cut'))
-            late = subject.apply(events.EndReceived(attempt=0, total=2))
-            if kind is assembly.Assembly:
-                self.assertEqual((), late)
+    def test_events_of_an_earlier_attempt_have_no_effect(self):
+        for assembly_class in (assembly.Assembly, AnyAttemptAssembly):
+            answer_assembly = assembly_class(resumable=True)
+            answer_assembly.apply(events.HeadReceived(attempt=0, status=200))
+            answer_assembly.apply(make_chunk(0, 0, 2))
+            answer_assembly.apply(
+                events.AttemptBroken(attempt=0, reason='cut')
+            )
+            decided = answer_assembly.apply(
+                events.EndReceived(attempt=0, total=2)
+            )
+            if assembly_class is assembly.Assembly:
+                self.assertEqual((), decided)
             else:
-                self.assertEqual((decisions.Finish(),), late)
+                self.assertEqual((decisions.Finish(),), decided)
 
-    def test_resumes_are_bounded_and_then_fail(self):
-        subject = assembly.Assembly(resumable=True, resumes_limit=2)
-        seen = []
+    def test_answer_fails_when_its_resumes_are_used_up(self):
+        answer_assembly = assembly.Assembly(resumable=True, resumes_limit=2)
+        received = []
         for attempt in range(3):
             event = events.AttemptBroken(attempt=attempt, reason='cut')
-            seen.extend(subject.apply(event))
+            received.extend(answer_assembly.apply(event))
         self.assertEqual(
             [
                 decisions.Resume(attempt=1, index=0),
                 decisions.Resume(attempt=2, index=0),
                 decisions.Fail(reason='cut', started=False),
             ],
-            seen,
+            received,
         )
 
-    def test_answer_over_the_kept_limit_fails_instead_of_resuming(self):
-        subject = assembly.Assembly(resumable=True, kept_limit_bytes=10)
-        subject.apply(events.HeadReceived(attempt=0, status=200))
-        subject.apply(make_chunk(0, 0, 4))
+    def test_answer_over_the_buffer_limit_fails_instead_of_resuming(self):
+        answer_assembly = assembly.Assembly(
+            resumable=True, resume_buffer_limit_bytes=10
+        )
+        answer_assembly.apply(events.HeadReceived(attempt=0, status=200))
+        answer_assembly.apply(make_chunk(0, 0, 4))
         self.assertEqual(
             (decisions.Fail(reason='cut', started=True),),
-            subject.apply(events.AttemptBroken(attempt=0, reason='cut')),
+            answer_assembly.apply(
+                events.AttemptBroken(attempt=0, reason='cut')
+            ),
         )
