--- a/packages/savoryyoke/savoryyoke/published/conf.py
+++ b/packages/savoryyoke/savoryyoke/published/conf.py
@@ -1,29 +1,34 @@
-"""Defaults of the view of published values."""
+"""Default settings of the view of published values."""
 
-# The platform restores the entries of live targets within about two seconds
-# of the end of an outage.
+# Items with an expired lease are kept for this time after an outage of the
+# platform. The items of live targets are published again within about two
+# seconds of its end.
 LAPSE_GRACE_S = 2.0
 
-# 43 entries that read each of three changes a second make 130 calls a second.
-# With this pause a larger fleet makes no more than 80, and the pause stays
-# well below the three seconds in which configuration must be in force.
+# An entry is one instance of the load balancer; the entries form a fleet. If
+# 43 entries read each of three changes per second separately, they make 130
+# calls per second to the platform. With this pause after each change, a larger
+# fleet makes at most 80. The pause stays well below the three seconds in which
+# a new configuration must be in force.
 SMALL_FLEET_ENTRIES = 16
 PAUSE_PER_ENTRY_S = 0.012
 PAUSE_MOST_S = 1.0
 
-# While targets are out of service, callers may wait for their return, which
-# takes seconds. Yet where a whole fleet starts, each of its targets makes one
-# change and more.
+# A shorter pause applies while a target is out of service, because callers may
+# be waiting for it to return, which takes seconds. It is not zero, because
+# each target of a starting fleet makes at least one change.
 URGENT_PAUSE_PER_ENTRY_S = 0.005
 URGENT_PAUSE_MOST_S = 0.3
 
-# A waiting read that stays open for so long finds a silent connection before
-# an entry counts as in touch again (three seconds).
+# Duration of a long poll, which is a read that waits for a change. It detects
+# a silent connection within the three seconds after an outage in which an
+# entry must be in contact with the platform again.
 WAIT_S = 2.0
-# Of a fleet whose entries hear each other, one at least renews its reading in
-# each quarter of a second, and tells the others if something has changed. The
-# platform holds a waiting read for 30 s at most.
+# Duration of a long poll per peer whose heartbeats arrive. With it, at least
+# one entry of the fleet renews its poll every quarter of a second and informs
+# the others about changes. The platform ends a poll after 30 s at most.
 FLEET_WAIT_PER_PEER_S = 0.25
 WAIT_MOST_S = 25.0
-# Renewals of a fleet that starts at once are spread over this part.
+# Share of the duration that is varied at random, so that the entries of a
+# fleet that starts at once do not renew their polls together.
 WAIT_SPREAD = 0.5
--- a/packages/savoryyoke/savoryyoke/published/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/published/exceptions.py
@@ -2,7 +2,7 @@
 
 
 class SourceError(Exception):
-    """Describe a failed reading; the base of this layer's errors."""
+    """Report a failed read; the base class of this package's errors."""
 
 
 class SourceUnavailable(SourceError):
@@ -10,4 +10,4 @@
 
 
 class HistoryLost(SourceError):
-    """Report that changes since a revision can no longer be had."""
+    """Report that the changes since a revision are no longer available."""
--- a/packages/savoryyoke/savoryyoke/published/models.py
+++ b/packages/savoryyoke/savoryyoke/published/models.py
@@ -1,11 +1,11 @@
-"""Published values and readings of them."""
+"""Published values and the results of reading them."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Item:
-    """Hold one published value and the revision that wrote it."""
+    """Hold one published value and the revision of its last change."""
 
     key: str
     revision: int
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Changes:
-    """Hold what has changed up to the revision ``as_of``."""
+    """Hold the changes since an earlier revision, up to ``as_of``."""
 
     as_of: int
     items: tuple[Item, ...]
--- a/packages/savoryyoke/savoryyoke/published/pacing.py
+++ b/packages/savoryyoke/savoryyoke/published/pacing.py
@@ -1,14 +1,15 @@
-"""Decide how soon published values are read again."""
+"""Choose when published values are read again."""
 
 from savoryyoke.published import conf
 
 
 def find_pause_s(*, entries, is_settled):
-    """Return the seconds between a change and the next reading.
+    """Return the pause in seconds after a change, before the next read.
 
-    Answers large fleets, in which every change makes every entry call the
-    platform. Changes of the pause are read together. While a target is out of
-    service they are put off for less: callers may be waiting for it.
+    In a large fleet of ``entries`` entries, every change makes every entry
+    call the platform. A pause combines the changes that happen during it into
+    one read. ``is_settled`` is false while a target is out of service; the
+    pause is shorter then, because callers may be waiting for the target.
     """
     if entries <= conf.SMALL_FLEET_ENTRIES:
         return 0.0
@@ -20,11 +21,13 @@
 
 
 def find_wait_s(*, peers, draw):
-    """Return how long a reading waits for a change, in seconds.
+    """Return the duration of a long poll for changes, in seconds.
 
-    ``peers`` counts the entries that are heard now. Answers large fleets,
-    which spend most calls to the platform on renewed waiting reads. An entry
-    that hears nobody finds a silent connection by itself.
+    ``peers`` is the number of other entries whose heartbeats arrive. In a
+    large fleet, most calls to the platform are renewed polls, so the duration
+    grows with the number of peers. An entry without peers has to detect a
+    silent connection by itself, so its polls are short. ``draw`` returns a
+    random number from 0 to 1.
     """
     wait_s = min(peers * conf.FLEET_WAIT_PER_PEER_S, conf.WAIT_MOST_S)
     return max(wait_s * (1 - conf.WAIT_SPREAD * draw()), conf.WAIT_S)
--- a/packages/savoryyoke/savoryyoke/published/view.py
+++ b/packages/savoryyoke/savoryyoke/published/view.py
@@ -1,4 +1,4 @@
-"""Follow published values; never go back to an older revision."""
+"""Apply readings of published values, but never an older revision."""
 
 import functools
 
@@ -7,11 +7,12 @@
 
 
 class PublishedView:
-    """Own the newest known items, by key.
+    """Own the newest items, by key.
 
-    Items that vanish during an outage of the platform, or right after it,
-    are kept for ``LAPSE_GRACE_S`` after the platform's return: leases that
-    could not be renewed lapse although their holders live.
+    Leased items that disappear during an outage of the platform, or right
+    after it, are kept for ``LAPSE_GRACE_S`` after the platform's return. A
+    lease that could not be renewed expires although its holder is alive.
+    ``is_leased`` is a function that says for a key whether it has a lease.
     """
 
     def __init__(self, *, is_leased):
@@ -19,8 +20,8 @@
         self._items_by_key = {}
         self._as_of = 0
         self._last_read_s = None
-        self._grace_ends_s = None
-        self._lapsing_keys = set()
+        self._grace_end_s = None
+        self._expiring_keys = set()
 
     @property
     def as_of(self):
@@ -33,39 +34,40 @@
         return self._items_by_key
 
     def age_s(self, *, now_s):
-        """Return the time since the last reading, or None before it."""
+        """Return the seconds since the last reading; None before any."""
         if self._last_read_s is None:
             return None
         return now_s - self._last_read_s
 
     def take_snapshot(self):
-        """Return the whole view for a peer."""
+        """Return a snapshot of the whole view, to be sent to a peer."""
         return models.Snapshot(
             as_of=self._as_of, items=tuple(self._items_by_key.values())
         )
 
     def apply(self, reading, *, now_s, after_outage=False):
-        """Take a reading in; return whether any item has changed.
+        """Apply a reading; return whether any item has changed.
 
-        A reading that is older than the view changes nothing.
-        ``after_outage`` marks the first reading after failed ones.
+        A reading that is older than the view has no effect.
+        ``after_outage`` marks the first reading after failed ones. Raise
+        ``TypeError`` for an object that is not a reading.
         """
         if reading.as_of < self._as_of:
             return False
         if after_outage:
-            self._grace_ends_s = now_s + conf.LAPSE_GRACE_S
+            self._grace_end_s = now_s + conf.LAPSE_GRACE_S
         self._last_read_s = now_s
         changed = self._apply(reading, now_s)
         self._as_of = reading.as_of
         return self.expire(now_s=now_s) or changed
 
     def expire(self, *, now_s):
-        """Drop items whose grace has ended; return whether any was."""
-        if not self._lapsing_keys or now_s < self._grace_ends_s:
+        """Remove items whose grace period ended; return whether any was."""
+        if not self._expiring_keys or now_s < self._grace_end_s:
             return False
-        for key in self._lapsing_keys:
+        for key in self._expiring_keys:
             self._items_by_key.pop(key, None)
-        self._lapsing_keys.clear()
+        self._expiring_keys.clear()
         return True
 
     @functools.singledispatchmethod
@@ -74,38 +76,40 @@
 
     @_apply.register
     def _(self, reading: models.Snapshot, now_s):
-        present = {item.key for item in reading.items}
-        missing = [key for key in self._items_by_key if key not in present]
-        removed = self._remove(missing, now_s)
-        return self._put(reading.items) or removed
+        present_keys = {item.key for item in reading.items}
+        missing_keys = [
+            key for key in self._items_by_key if key not in present_keys
+        ]
+        removed = self._remove(missing_keys, now_s)
+        return self._store_newer(reading.items) or removed
 
     @_apply.register
     def _(self, reading: models.Changes, now_s):
         removed = self._remove(reading.removed_keys, now_s)
-        return self._put(reading.items) or removed
+        return self._store_newer(reading.items) or removed
 
-    def _put(self, items):
+    def _store_newer(self, items):
         changed = False
         for item in items:
-            known = self._items_by_key.get(item.key)
-            self._lapsing_keys.discard(item.key)
-            if known is None or known.revision < item.revision:
+            current = self._items_by_key.get(item.key)
+            self._expiring_keys.discard(item.key)
+            if current is None or current.revision < item.revision:
                 self._items_by_key[item.key] = item
                 changed = True
         return changed
 
     def _remove(self, keys, now_s):
-        in_grace = self._grace_ends_s is not None and (
-            now_s < self._grace_ends_s
+        in_grace = self._grace_end_s is not None and (
+            now_s < self._grace_end_s
         )
         changed = False
         for key in keys:
             if key not in self._items_by_key:
                 continue
             if in_grace and self._is_leased(key):
-                self._lapsing_keys.add(key)
+                self._expiring_keys.add(key)
                 continue
             del self._items_by_key[key]
-            self._lapsing_keys.discard(key)
+            self._expiring_keys.discard(key)
             changed = True
         return changed
--- a/packages/savoryyoke/tests/published/test_pacing.py
+++ b/packages/savoryyoke/tests/published/test_pacing.py
@@ -1,4 +1,4 @@
-"""Test how soon published values are read again."""
+"""Test the pauses between reads and the duration of long polls."""
 
 import random
 import unittest
@@ -10,7 +10,7 @@
 
 
 def count_calls(entries):
-    """Return the calls that a fleet makes in a second of steady changes."""
+    """Return the calls per second of a fleet under steady changes."""
     pause_s = pacing.find_pause_s(entries=entries, is_settled=True)
     return entries / (pause_s + 1 / CHANGES_PER_S)
 
@@ -21,17 +21,17 @@
             pause_s = pacing.find_pause_s(entries=entries, is_settled=True)
             self.assertEqual(0.0, pause_s)
 
-    def test_calls_hardly_grow_with_the_fleet(self):
+    def test_calls_grow_little_with_the_fleet(self):
         self.assertLess(count_calls(43), 43 * CHANGES_PER_S / 2)
         self.assertLess(count_calls(80), 1.5 * count_calls(43))
 
-    def test_little_is_put_off_while_a_target_is_out(self):
+    def test_pause_is_short_while_a_target_is_out_of_service(self):
         for entries in (8, 43, 350):
             pause_s = pacing.find_pause_s(entries=entries, is_settled=False)
             self.assertLessEqual(pause_s, conf.URGENT_PAUSE_MOST_S)
 
     def test_start_of_a_fleet_makes_few_calls(self):
-        """Play 130 changes in five seconds at each of 43 entries."""
+        """Simulate 130 changes in five seconds at one of 43 entries."""
         changes_s = [number * 5 / 130 for number in range(130)]
         pause_s = pacing.find_pause_s(entries=43, is_settled=False)
         calls, next_s = 0, 0.0
@@ -41,49 +41,49 @@
                 next_s = change_s + pause_s
         self.assertLess(calls, 30)
 
-    def test_pause_is_bounded(self):
+    def test_pause_is_limited(self):
         pause_s = pacing.find_pause_s(entries=5000, is_settled=True)
         self.assertEqual(conf.PAUSE_MOST_S, pause_s)
 
 
 class WaitTests(unittest.TestCase):
-    def play(self, entries, *, seconds=60.0):
-        """Return when the entries of a quiet fleet renew their readings."""
-        source = random.Random(entries)
+    def simulate(self, entries, *, seconds=60.0):
+        """Return when the entries of a fleet renew polls without changes."""
+        random_source = random.Random(entries)
         renewed_s = []
         for _ in range(entries):
             now_s = 0.0
             while now_s < seconds:
                 now_s += pacing.find_wait_s(
-                    peers=entries - 1, draw=source.random
+                    peers=entries - 1, draw=random_source.random
                 )
                 renewed_s.append(now_s)
         return sorted(renewed_s)
 
-    def test_small_fleets_and_lone_entries_find_silence_in_time(self):
+    def test_small_fleets_use_short_polls(self):
         for peers in (0, 1, 7):
             wait_s = pacing.find_wait_s(peers=peers, draw=lambda: 1.0)
             self.assertEqual(conf.WAIT_S, wait_s)
 
-    def test_calls_of_a_quiet_fleet_hardly_grow(self):
+    def test_calls_without_changes_grow_little_with_the_fleet(self):
         for entries in (16, 44, 99):
             with self.subTest(entries=entries):
-                self.assertLess(len(self.play(entries)) / 60.0, 8.0)
+                self.assertLess(len(self.simulate(entries)) / 60.0, 8.0)
 
-    def test_one_of_the_fleet_finds_silence_soon(self):
+    def test_some_entry_soon_detects_a_silent_connection(self):
         for entries in (16, 44, 99, 350):
             with self.subTest(entries=entries):
-                renewed_s = self.play(entries)
+                renewed_s = self.simulate(entries)
                 gaps_s = [
                     after - before
                     for before, after in zip(
                         renewed_s[:-entries], renewed_s[1:], strict=False
                     )
-                    # The fleet spreads out over its first wait.
+                    # The polls are spread out only after the first one.
                     if before > conf.WAIT_MOST_S
                 ]
                 self.assertLess(max(gaps_s), conf.WAIT_S)
 
-    def test_wait_is_bounded(self):
+    def test_poll_duration_is_limited(self):
         wait_s = pacing.find_wait_s(peers=5000, draw=lambda: 0.0)
         self.assertEqual(conf.WAIT_MOST_S, wait_s)
