--- a/packages/savoryyoke/savoryyoke/peers/messages.py
+++ b/packages/savoryyoke/savoryyoke/peers/messages.py
@@ -1,4 +1,4 @@
-"""What entries tell each other."""
+"""Messages that entries exchange."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InFlight:
-    """Count the requests that an entry has at a target."""
+    """Hold the number of requests in flight from an entry to a target."""
 
     target_id: str
     requests: int
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SlowTarget:
-    """Name a target that takes ``pace`` times the usual time."""
+    """Report that a target's steps take ``pace`` times the usual time."""
 
     address: str
     pace: float
@@ -26,14 +26,15 @@
 class Heartbeat:
     """Report the state of an entry.
 
-    ``incarnation`` is drawn at each start and ``sequence`` grows with each
-    heartbeat. ``caller_address`` is where callers connect.
-    ``published_as_of`` is the revision of the entry's view of published
-    values, ``contact_hosts`` are hosts of entries that it hears, and
-    ``slow_targets`` are those that it has heard of from their own VMs.
-    ``leaving_targets`` are those whose answers to it said that they leave.
-    ``evidence_digest`` sums up what it knows of crashes; ``crashes`` are the
-    reports that some entry seems to lack.
+    ``incarnation`` is a random number chosen at each start, and ``sequence``
+    grows with each heartbeat. ``caller_address`` is the address to which
+    callers connect. ``published_as_of`` is the revision of the entry's view of
+    published values. ``contact_hosts`` are hosts of entries from which it
+    receives heartbeats. ``slow_targets`` are the targets whose own VMs have
+    reported to it that they are slow. ``leaving_targets`` are the targets that
+    have announced to it that they leave. ``evidence_digest`` is a digest of
+    its crash reports, and ``crashes`` are the reports that another entry seems
+    to lack.
     """
 
     sender_id: str
--- a/packages/savoryyoke/savoryyoke/peers/pacing.py
+++ b/packages/savoryyoke/savoryyoke/peers/pacing.py
@@ -1,4 +1,4 @@
-"""Decide which heartbeats to send and what they carry."""
+"""Choose which heartbeats are sent, with which content and interval."""
 
 import dataclasses
 
@@ -6,52 +6,56 @@
 
 
 class HeartbeatPacing:
-    """Leave out what the other entries know already.
+    """Suppress heartbeats and contacts that have not changed.
 
-    Answers the many small datagrams of a quiet fleet, which cost more bytes
-    between data centres than the requests of callers.
+    In a fleet with little traffic, the many small datagrams would use more
+    bandwidth between data centres than the requests of callers.
     """
 
     def __init__(self):
-        self._sent = None
-        self._sent_s = None
-        self._contact_hosts = None
-        self._contacts_sent_s = None
+        self._last_sent = None
+        self._last_sent_s = None
+        self._last_contact_hosts = None
+        self._last_contacts_sent_s = None
 
     def select(self, heartbeat, *, now_s):
-        """Return the heartbeat to send, or None.
+        """Return the heartbeat to send, or None to send nothing.
 
-        Its sequence number and the ages in it are not compared. Contacts
-        are left out while they are known.
+        The sequence number and the ages of leaving targets don't count as
+        changes. Contacts are removed from the heartbeat if they have been sent
+        within ``CONTACTS_S`` and have not changed.
         """
-        if self._is_known(heartbeat, now_s):
+        if self._is_unchanged(heartbeat, now_s):
             return None
-        self._sent = heartbeat
-        self._sent_s = now_s
-        if self._are_contacts_known(heartbeat, now_s):
+        self._last_sent = heartbeat
+        self._last_sent_s = now_s
+        if self._are_contacts_unchanged(heartbeat, now_s):
             return dataclasses.replace(heartbeat, contact_hosts=())
-        self._contact_hosts = heartbeat.contact_hosts
-        self._contacts_sent_s = now_s
+        self._last_contact_hosts = heartbeat.contact_hosts
+        self._last_contacts_sent_s = now_s
         return heartbeat
 
-    def _is_known(self, heartbeat, now_s):
-        if self._sent is None:
+    def _is_unchanged(self, heartbeat, now_s):
+        if self._last_sent is None:
             return False
-        if now_s - self._sent_s >= conf.UNCHANGED_HEARTBEAT_S:
+        if now_s - self._last_sent_s >= conf.UNCHANGED_HEARTBEAT_S:
             return False
-        return _strip(heartbeat) == _strip(self._sent)
+        return _remove_volatile_fields(heartbeat) == _remove_volatile_fields(
+            self._last_sent
+        )
 
-    def _are_contacts_known(self, heartbeat, now_s):
+    def _are_contacts_unchanged(self, heartbeat, now_s):
         return (
-            heartbeat.contact_hosts == self._contact_hosts
-            and now_s - self._contacts_sent_s < conf.CONTACTS_S
+            heartbeat.contact_hosts == self._last_contact_hosts
+            and now_s - self._last_contacts_sent_s < conf.CONTACTS_S
         )
 
 
-def _strip(heartbeat):
-    """Return a heartbeat without what changes with each one."""
+def _remove_volatile_fields(heartbeat):
+    """Return a heartbeat without the fields that change each time."""
     leaving = tuple(
-        dataclasses.replace(x, age_s=0.0) for x in heartbeat.leaving_targets
+        dataclasses.replace(target, age_s=0.0)
+        for target in heartbeat.leaving_targets
     )
     return dataclasses.replace(heartbeat, sequence=0, leaving_targets=leaving)
 
@@ -59,7 +63,8 @@
 def find_interval_s(*, peers):
     """Return the seconds between two heartbeats.
 
-    Answers large fleets, where every entry hears every other.
+    ``peers`` is the number of other entries. The interval grows with it,
+    because every entry sends to every other.
     """
     return max(
         conf.HEARTBEAT_S,
--- a/packages/savoryyoke/savoryyoke/peers/slow_targets.py
+++ b/packages/savoryyoke/savoryyoke/peers/slow_targets.py
@@ -1,4 +1,4 @@
-"""Remember which targets are slow, as long as that is reported."""
+"""Store reports of slow targets until they expire."""
 
 from savoryyoke.peers import conf
 from savoryyoke.peers import messages
@@ -7,36 +7,37 @@
 class SlowTargets:
     """Own the newest reports of slow targets, by address.
 
-    Reports that came from a target's own VM are passed on to other entries;
-    those that came from entries are not.
+    Reports from a target's own VM are forwarded to other entries. Reports
+    from other entries are not. A pace is the ratio of a target's step time to
+    the usual one.
     """
 
     def __init__(self):
         self._own_by_address = {}
-        self._passed_by_address = {}
+        self._forwarded_by_address = {}
 
     def note(self, address, pace, *, now_s):
-        """Take in a report from the target's own VM."""
+        """Record a report from the target's own VM."""
         self._own_by_address[address] = (pace, now_s)
 
     def note_passed(self, targets, *, now_s):
-        """Take in the ``SlowTarget`` reports of another entry."""
+        """Record the ``SlowTarget`` reports of another entry."""
         for target in targets:
-            self._passed_by_address[target.address] = (target.pace, now_s)
+            self._forwarded_by_address[target.address] = (target.pace, now_s)
 
     def to_pass_on(self, *, now_s):
-        """Return the ``SlowTarget`` reports for other entries."""
+        """Return the ``SlowTarget`` reports to send to other entries."""
         return tuple(
             messages.SlowTarget(address=address, pace=pace)
-            for address, (pace, heard_s) in self._own_by_address.items()
-            if now_s - heard_s <= conf.SLOW_MEMORY_S
+            for address, (pace, received_s) in self._own_by_address.items()
+            if now_s - received_s <= conf.SLOW_MEMORY_S
         )
 
     def paces(self, *, now_s):
         """Return the paces of slow targets by address."""
-        known = self._passed_by_address | self._own_by_address
+        reports = self._forwarded_by_address | self._own_by_address
         return {
             address: pace
-            for address, (pace, heard_s) in known.items()
-            if now_s - heard_s <= conf.SLOW_MEMORY_S
+            for address, (pace, received_s) in reports.items()
+            if now_s - received_s <= conf.SLOW_MEMORY_S
         }
--- a/packages/savoryyoke/tests/peers/test_pacing.py
+++ b/packages/savoryyoke/tests/peers/test_pacing.py
@@ -1,4 +1,4 @@
-"""Test which heartbeats are sent."""
+"""Test which heartbeats are sent and how often."""
 
 import dataclasses
 import unittest
@@ -16,16 +16,16 @@
 class HeartbeatPacingTests(unittest.TestCase):
     def setUp(self):
         self.pacing = pacing.HeartbeatPacing()
-        self.heartbeat = test_table.heartbeat(1, contact_hosts=HOSTS)
+        self.heartbeat = test_table.build_heartbeat(1, contact_hosts=HOSTS)
 
     def select(self, now_s, **changes):
         changed = dataclasses.replace(self.heartbeat, **changes)
         return self.pacing.select(changed, now_s=now_s)
 
-    def test_first_heartbeat_is_sent_whole(self):
+    def test_first_heartbeat_is_sent_unchanged(self):
         self.assertEqual(self.heartbeat, self.select(0.0))
 
-    def test_unchanged_heartbeat_is_left_out_for_a_while(self):
+    def test_unchanged_heartbeat_is_not_sent_for_a_while(self):
         self.select(0.0)
         self.assertIsNone(self.select(0.1, sequence=2))
         later_s = conf.UNCHANGED_HEARTBEAT_S
@@ -43,52 +43,54 @@
             with self.subTest(change=change):
                 self.pacing = pacing.HeartbeatPacing()
                 self.select(0.0)
-                sent = self.select(0.01, sequence=2, **change)
+                sent_heartbeat = self.select(0.01, sequence=2, **change)
                 ((name, value),) = change.items()
-                self.assertEqual(value, getattr(sent, name))
+                self.assertEqual(value, getattr(sent_heartbeat, name))
 
-    def test_known_contacts_are_left_out_for_a_while(self):
+    def test_unchanged_contacts_are_not_sent_for_a_while(self):
         self.select(0.0)
-        sent = self.select(0.1, published_as_of=2)
-        self.assertEqual((), sent.contact_hosts)
-        sent = self.select(conf.CONTACTS_S, published_as_of=3)
-        self.assertEqual(HOSTS, sent.contact_hosts)
+        sent_heartbeat = self.select(0.1, published_as_of=2)
+        self.assertEqual((), sent_heartbeat.contact_hosts)
+        sent_heartbeat = self.select(conf.CONTACTS_S, published_as_of=3)
+        self.assertEqual(HOSTS, sent_heartbeat.contact_hosts)
 
     def test_changed_contacts_are_sent_at_once(self):
         self.select(0.0)
-        sent = self.select(0.1, contact_hosts=HOSTS[:1])
-        self.assertEqual(HOSTS[:1], sent.contact_hosts)
+        sent_heartbeat = self.select(0.1, contact_hosts=HOSTS[:1])
+        self.assertEqual(HOSTS[:1], sent_heartbeat.contact_hosts)
 
-    def test_quiet_peer_stays_alive_with_two_of_three_heartbeats_lost(self):
-        known = table.PeerTable(
+    def test_unchanged_peer_stays_alive_if_two_of_three_heartbeats_are_lost(
+        self,
+    ):
+        receiver = table.PeerTable(
             own_id='e2', own_host='10.0.0.2', seed_hosts=[]
         )
-        sent = 0
+        sent_count = 0
         for tick in range(200):
             now_s = tick * conf.HEARTBEAT_S
             heartbeat = self.select(now_s, sequence=tick)
             if heartbeat is not None:
-                if sent % 3 == 0:
-                    known.receive(heartbeat, now_s=now_s)
-                sent += 1
-            self.assertEqual([], known.forget_silent(now_s=now_s))
-        self.assertLess(sent, 80)
+                if sent_count % 3 == 0:
+                    receiver.receive(heartbeat, now_s=now_s)
+                sent_count += 1
+            self.assertEqual([], receiver.forget_silent(now_s=now_s))
+        self.assertLess(sent_count, 80)
 
 
 class IntervalTests(unittest.TestCase):
-    def test_small_fleets_hear_each_other_often(self):
+    def test_small_fleets_use_the_shortest_interval(self):
         for peers in (0, 1, 7):
             self.assertEqual(
                 conf.HEARTBEAT_S, pacing.find_interval_s(peers=peers)
             )
 
-    def test_heartbeats_of_a_large_fleet_are_few(self):
-        for peers, most_per_s in ((42, 200), (79, 200), (349, 500)):
+    def test_heartbeats_of_a_large_fleet_are_limited(self):
+        for peers, limit_per_s in ((42, 200), (79, 200), (349, 500)):
             with self.subTest(peers=peers):
                 interval_s = pacing.find_interval_s(peers=peers)
-                self.assertLessEqual(peers / interval_s, most_per_s)
+                self.assertLessEqual(peers / interval_s, limit_per_s)
 
-    def test_a_lost_heartbeat_is_no_lost_peer(self):
+    def test_one_lost_heartbeat_does_not_exceed_the_timeout(self):
         for peers in (7, 42, 79, 199):
             with self.subTest(peers=peers):
                 interval_s = pacing.find_interval_s(peers=peers)
