--- a/packages/savoryyoke/savoryyoke/peers/pacing.py
+++ b/packages/savoryyoke/savoryyoke/peers/pacing.py
@@ -23,7 +23,7 @@
 
         The sequence number and the ages of leaving targets don't count as
         changes. Contacts are removed from the heartbeat if they have been sent
-        within ``CONTACTS_S`` and have not changed.
+        within ``CONTACTS_INTERVAL_S`` and have not changed.
         """
         if self._is_unchanged(heartbeat, now_s):
             return None
@@ -38,7 +38,7 @@
     def _is_unchanged(self, heartbeat, now_s):
         if self._last_sent is None:
             return False
-        if now_s - self._last_sent_s >= conf.UNCHANGED_HEARTBEAT_S:
+        if now_s - self._last_sent_s >= conf.UNCHANGED_HEARTBEAT_INTERVAL_S:
             return False
         return _remove_volatile_fields(heartbeat) == _remove_volatile_fields(
             self._last_sent
@@ -47,7 +47,7 @@
     def _are_contacts_unchanged(self, heartbeat, now_s):
         return (
             heartbeat.contact_hosts == self._last_contact_hosts
-            and now_s - self._last_contacts_sent_s < conf.CONTACTS_S
+            and now_s - self._last_contacts_sent_s < conf.CONTACTS_INTERVAL_S
         )
 
 
@@ -67,7 +67,7 @@
     because every entry sends to every other.
     """
     return max(
-        conf.HEARTBEAT_S,
-        min(peers * conf.HEARTBEAT_PER_PEER_S, conf.HEARTBEAT_SAFE_S),
-        peers * conf.HEARTBEAT_LEAST_PER_PEER_S,
+        conf.HEARTBEAT_INTERVAL_S,
+        min(peers * conf.HEARTBEAT_PER_PEER_S, conf.HEARTBEAT_SAFE_INTERVAL_S),
+        peers * conf.HEARTBEAT_MIN_PER_PEER_S,
     )
--- a/packages/savoryyoke/savoryyoke/peers/slow_targets.py
+++ b/packages/savoryyoke/savoryyoke/peers/slow_targets.py
@@ -30,7 +30,7 @@
         return tuple(
             messages.SlowTarget(address=address, pace=pace)
             for address, (pace, received_s) in self._own_by_address.items()
-            if now_s - received_s <= conf.SLOW_MEMORY_S
+            if now_s - received_s <= conf.SLOW_REPORT_LIFETIME_S
         )
 
     def paces(self, *, now_s):
@@ -39,5 +39,5 @@
         return {
             address: pace
             for address, (pace, received_s) in reports.items()
-            if now_s - received_s <= conf.SLOW_MEMORY_S
+            if now_s - received_s <= conf.SLOW_REPORT_LIFETIME_S
         }
--- a/packages/savoryyoke/savoryyoke/peers/table.py
+++ b/packages/savoryyoke/savoryyoke/peers/table.py
@@ -87,16 +87,16 @@
         self._contact_seen_s_by_host = {
             host: seen_s
             for host, seen_s in self._contact_seen_s_by_host.items()
-            if now_s - seen_s <= conf.CONTACT_MEMORY_S
+            if now_s - seen_s <= conf.CONTACT_LIFETIME_S
         }
         return sorted(self._seed_hosts | set(self._contact_seen_s_by_host))
 
     def hosts_alive(self, *, now_s):
-        """Return hosts of live peers, at most ``PASSED_CONTACTS_LIMIT``."""
+        """Return hosts of live peers, at most ``HEARTBEAT_CONTACTS_LIMIT``."""
         hosts = sorted(
             heartbeat.sender_host for heartbeat in self.alive(now_s=now_s)
         )
-        return tuple(hosts[: conf.PASSED_CONTACTS_LIMIT])
+        return tuple(hosts[: conf.HEARTBEAT_CONTACTS_LIMIT])
 
     @staticmethod
     def _is_stale(current, heartbeat):
--- a/packages/savoryyoke/savoryyoke/placement/conf.py
+++ b/packages/savoryyoke/savoryyoke/placement/conf.py
@@ -5,37 +5,37 @@
 # Time without requests for a target that refused one because it was full. An
 # engine frees slots within one step, which takes 40 to 60 ms on the users'
 # groups.
-BUSY_S = 0.1
+REFUSED_AVOIDANCE_S = 0.1
 
 # A target that refuses connections is tried again after this time, which
 # doubles with each further failure up to the longest one. VMs restart within
 # two to five seconds.
-UNREACHABLE_FIRST_S = 0.5
-UNREACHABLE_LONGEST_S = 4.0
+UNREACHABLE_AVOIDANCE_MIN_S = 0.5
+UNREACHABLE_AVOIDANCE_MAX_S = 4.0
 
 # Time without requests for a target whose address turned out to belong to
 # another target. The published list lags by about two seconds; after that it
 # has the right address.
-MISDIRECTED_S = 2.0
+MISDIRECTED_AVOIDANCE_S = 2.0
 
 # A target may request a pause of any length. Replacing its VM takes less than
 # five minutes, so a longer pause is treated as a fault and cut to this.
-PAUSE_LONGEST_S = 300.0
+PAUSE_MAX_S = 300.0
 
 # After a pause, each entry raises its limit of concurrent requests to the
 # target by one every 0.1 s, which is two steps of an engine. After 64 such
 # increases the limit is lifted.
-PAUSE_RAMP_S = 0.1
+PAUSE_RAMP_STEP_S = 0.1
 PAUSE_RAMP_STEPS = 64
 
 # Callers that were refused until the end of a pause get retry times that are
 # spread over this interval after the end.
-PAUSE_RETURN_SPREAD_S = 0.3
+PAUSE_RETRY_SPREAD_S = 0.3
 
 # A leaving target is removed from the published list, or marked as draining
 # in it, some seconds after it has announced that it leaves. Until then,
 # entries without the announcement use the hints of other entries.
-HINT_MEMORY_S = 10.0
+HINT_LIFETIME_S = 10.0
 HINTS_LIMIT = 32
 
 # Bounds the leaving incarnations that are stored for a service. Enough for
@@ -57,20 +57,22 @@
 COLD_SHARE = 0.8
 COLD_WINDOW_S = 1.0
 
-# Callers honour a retry time of up to a third of the time they have left.
-RETURN_SHARE_LIMIT = 1.0 / 3.0
-RETURN_EARLIEST_SHARE = 0.3
-RETURN_LATEST_S = 1.5
+# Callers honour a retry time of up to a third of the time they have left. The
+# retry time is chosen at random, between the minimum share of the longest one
+# and the longest one.
+RETRY_AFTER_MAX_SHARE = 1.0 / 3.0
+RETRY_AFTER_MIN_SHARE = 0.3
+RETRY_AFTER_MAX_S = 1.5
 
 # A group of engines that has lost a rank is out of service for two to five
 # seconds, so its callers get later retry times, up to 3 s.
-OUTAGE_EARLIEST_SHARE = 0.7
-OUTAGE_LATEST_S = 3.0
+OUTAGE_RETRY_AFTER_MIN_SHARE = 0.7
+OUTAGE_RETRY_AFTER_MAX_S = 3.0
 
 # All engines of a group run each step together, at the speed of the slowest
 # rank. A rank whose steps take this many times the usual time gets no requests
 # while most ranks are faster.
-SLOW_PACE = 1.3
+SLOW_PACE_RATIO = 1.3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/packages/savoryyoke/savoryyoke/placement/dispatcher.py
+++ b/packages/savoryyoke/savoryyoke/placement/dispatcher.py
@@ -208,7 +208,7 @@
             request_id=arrival.request_id,
             reason=_Reason.ALL_PAUSED,
             retry_after_s=pause_left_s
-            + self._draw() * conf.PAUSE_RETURN_SPREAD_S,
+            + self._draw() * conf.PAUSE_RETRY_SPREAD_S,
         )
 
     def _would_wait_too_long(self, waiting, now_s):
--- a/packages/savoryyoke/savoryyoke/placement/health.py
+++ b/packages/savoryyoke/savoryyoke/placement/health.py
@@ -61,14 +61,14 @@
             return
         self._consecutive_unreachable = 0
         if result is _Result.MISDIRECTED:
-            self._avoid_for(conf.MISDIRECTED_S, now_s)
+            self._avoid_for(conf.MISDIRECTED_AVOIDANCE_S, now_s)
         elif result is _Result.REFUSED:
-            self._avoid_for(conf.BUSY_S, now_s)
+            self._avoid_for(conf.REFUSED_AVOIDANCE_S, now_s)
 
     def _unreachable_pause_s(self):
         doublings = min(self._consecutive_unreachable - 1, 8)
-        pause_s = conf.UNREACHABLE_FIRST_S * 2**doublings
-        return min(pause_s, conf.UNREACHABLE_LONGEST_S)
+        pause_s = conf.UNREACHABLE_AVOIDANCE_MIN_S * 2**doublings
+        return min(pause_s, conf.UNREACHABLE_AVOIDANCE_MAX_S)
 
     def _avoid_for(self, pause_s, now_s):
         self._avoid_until_s = max(self._avoid_until_s, now_s + pause_s)
--- a/packages/savoryyoke/savoryyoke/placement/notices.py
+++ b/packages/savoryyoke/savoryyoke/placement/notices.py
@@ -23,11 +23,11 @@
     list may be older than the notice, or the target may be published again.
     An incarnation that leaves never gets a request again. One that requests a
     pause gets no requests until the pause ends. Then its limit of concurrent
-    requests grows by one every ``PAUSE_RAMP_S``, so that queued requests are
-    not sent all at once.
+    requests grows by one every ``PAUSE_RAMP_STEP_S``, so that queued requests
+    are not sent all at once.
 
     A hint is another entry's report of a leaving target. It expires after
-    ``HINT_MEMORY_S``; until then the target is used only as a last resort.
+    ``HINT_LIFETIME_S``; until then the target is used only as a last resort.
     """
 
     def __init__(self):
@@ -57,11 +57,11 @@
         """Record a requested pause; return the time at which it ends.
 
         Of several pauses the latest end counts. A pause is limited to
-        ``PAUSE_LONGEST_S``.
+        ``PAUSE_MAX_S``.
         """
         self._remove_old_pauses(now_s)
         key = _build_key(target)
-        end_s = now_s + min(max(pause_s, 0.0), conf.PAUSE_LONGEST_S)
+        end_s = now_s + min(max(pause_s, 0.0), conf.PAUSE_MAX_S)
         end_s = max(end_s, self._pause_ends_s_by_key.get(key, end_s))
         self._pause_ends_s_by_key[key] = end_s
         return end_s
@@ -80,7 +80,7 @@
         announced_s = self._hint_announced_s_by_key.get(_build_key(target))
         return (
             announced_s is not None
-            and now_s - announced_s < conf.HINT_MEMORY_S
+            and now_s - announced_s < conf.HINT_LIFETIME_S
         )
 
     def pause_end_s(self, target, *, now_s):
@@ -95,13 +95,13 @@
             return None
         if now_s < end_s:
             return 0
-        return 1 + int((now_s - end_s) / conf.PAUSE_RAMP_S)
+        return 1 + int((now_s - end_s) / conf.PAUSE_RAMP_STEP_S)
 
     def hints(self, *, now_s):
         """Return the newest own notices as hints for other entries."""
         newest = []
         for key, announced_s in reversed(self._announced_s_by_key.items()):
-            if now_s - announced_s >= conf.HINT_MEMORY_S:
+            if now_s - announced_s >= conf.HINT_LIFETIME_S:
                 break
             target_id, incarnation = key
             newest.append(
@@ -114,7 +114,7 @@
         return tuple(newest[: conf.HINTS_LIMIT])
 
     def _remove_old_pauses(self, now_s):
-        oldest_s = now_s - conf.PAUSE_RAMP_S * conf.PAUSE_RAMP_STEPS
+        oldest_s = now_s - conf.PAUSE_RAMP_STEP_S * conf.PAUSE_RAMP_STEPS
         self._pause_ends_s_by_key = {
             key: end_s
             for key, end_s in self._pause_ends_s_by_key.items()
--- a/packages/savoryyoke/savoryyoke/placement/pool.py
+++ b/packages/savoryyoke/savoryyoke/placement/pool.py
@@ -251,7 +251,7 @@
 
     def _is_slow(self, target):
         address = f'{target.host}:{target.port}'
-        return self._paces_by_address.get(address, 1.0) >= conf.SLOW_PACE
+        return self._paces_by_address.get(address, 1.0) >= conf.SLOW_PACE_RATIO
 
     def _is_within_cold_rate(self, state, now_s):
         if self._cold_rate_per_s is None:
--- a/packages/savoryyoke/savoryyoke/published/conf.py
+++ b/packages/savoryyoke/savoryyoke/published/conf.py
@@ -3,7 +3,7 @@
 # Items with an expired lease are kept for this time after an outage of the
 # platform. The items of live targets are published again within about two
 # seconds of its end.
-LAPSE_GRACE_S = 2.0
+LEASE_GRACE_S = 2.0
 
 # An entry is one instance of the load balancer; the entries form a fleet. If
 # 43 entries read each of three changes per second separately, they make 130
@@ -12,13 +12,13 @@
 # a new configuration must be in force.
 SMALL_FLEET_ENTRIES = 16
 PAUSE_PER_ENTRY_S = 0.012
-PAUSE_MOST_S = 1.0
+PAUSE_MAX_S = 1.0
 
 # A shorter pause applies while a target is out of service, because callers may
 # be waiting for it to return, which takes seconds. It is not zero, because
 # each target of a starting fleet makes at least one change.
 URGENT_PAUSE_PER_ENTRY_S = 0.005
-URGENT_PAUSE_MOST_S = 0.3
+URGENT_PAUSE_MAX_S = 0.3
 
 # Duration of a long poll, which is a read that waits for a change. It detects
 # a silent connection within the three seconds after an outage in which an
@@ -27,8 +27,8 @@
 # Duration of a long poll per peer whose heartbeats arrive. With it, at least
 # one entry of the fleet renews its poll every quarter of a second and informs
 # the others about changes. The platform ends a poll after 30 s at most.
-FLEET_WAIT_PER_PEER_S = 0.25
-WAIT_MOST_S = 25.0
+LONG_POLL_PER_PEER_S = 0.25
+LONG_POLL_MAX_S = 25.0
 # Share of the duration that is varied at random, so that the entries of a
 # fleet that starts at once do not renew their polls together.
-WAIT_SPREAD = 0.5
+LONG_POLL_SPREAD_SHARE = 0.5
--- a/packages/savoryyoke/savoryyoke/published/pacing.py
+++ b/packages/savoryyoke/savoryyoke/published/pacing.py
@@ -15,9 +15,9 @@
         return 0.0
     if not is_settled:
         return min(
-            entries * conf.URGENT_PAUSE_PER_ENTRY_S, conf.URGENT_PAUSE_MOST_S
+            entries * conf.URGENT_PAUSE_PER_ENTRY_S, conf.URGENT_PAUSE_MAX_S
         )
-    return min(entries * conf.PAUSE_PER_ENTRY_S, conf.PAUSE_MOST_S)
+    return min(entries * conf.PAUSE_PER_ENTRY_S, conf.PAUSE_MAX_S)
 
 
 def find_wait_s(*, peers, draw):
@@ -29,5 +29,7 @@
     silent connection by itself, so its polls are short. ``draw`` returns a
     random number from 0 to 1.
     """
-    wait_s = min(peers * conf.FLEET_WAIT_PER_PEER_S, conf.WAIT_MOST_S)
-    return max(wait_s * (1 - conf.WAIT_SPREAD * draw()), conf.WAIT_S)
+    wait_s = min(peers * conf.LONG_POLL_PER_PEER_S, conf.LONG_POLL_MAX_S)
+    return max(
+        wait_s * (1 - conf.LONG_POLL_SPREAD_SHARE * draw()), conf.WAIT_S
+    )
--- a/packages/savoryyoke/savoryyoke/published/view.py
+++ b/packages/savoryyoke/savoryyoke/published/view.py
@@ -10,7 +10,7 @@
     """Own the newest items, by key.
 
     Leased items that disappear during an outage of the platform, or right
-    after it, are kept for ``LAPSE_GRACE_S`` after the platform's return. A
+    after it, are kept for ``LEASE_GRACE_S`` after the platform's return. A
     lease that could not be renewed expires although its holder is alive.
     ``is_leased`` is a function that says for a key whether it has a lease.
     """
@@ -55,7 +55,7 @@
         if reading.as_of < self._as_of:
             return False
         if after_outage:
-            self._grace_end_s = now_s + conf.LAPSE_GRACE_S
+            self._grace_end_s = now_s + conf.LEASE_GRACE_S
         self._last_read_s = now_s
         changed = self._apply(reading, now_s)
         self._as_of = reading.as_of
--- a/packages/savoryyoke/tests/peers/test_pacing.py
+++ b/packages/savoryyoke/tests/peers/test_pacing.py
@@ -28,7 +28,7 @@
     def test_unchanged_heartbeat_is_not_sent_for_a_while(self):
         self.select(0.0)
         self.assertIsNone(self.select(0.1, sequence=2))
-        later_s = conf.UNCHANGED_HEARTBEAT_S
+        later_s = conf.UNCHANGED_HEARTBEAT_INTERVAL_S
         self.assertIsNotNone(self.select(later_s, sequence=3))
 
     def test_every_change_is_sent_at_once(self):
@@ -51,7 +51,9 @@
         self.select(0.0)
         sent_heartbeat = self.select(0.1, published_as_of=2)
         self.assertEqual((), sent_heartbeat.contact_hosts)
-        sent_heartbeat = self.select(conf.CONTACTS_S, published_as_of=3)
+        sent_heartbeat = self.select(
+            conf.CONTACTS_INTERVAL_S, published_as_of=3
+        )
         self.assertEqual(HOSTS, sent_heartbeat.contact_hosts)
 
     def test_changed_contacts_are_sent_at_once(self):
@@ -67,7 +69,7 @@
         )
         sent_count = 0
         for tick in range(200):
-            now_s = tick * conf.HEARTBEAT_S
+            now_s = tick * conf.HEARTBEAT_INTERVAL_S
             heartbeat = self.select(now_s, sequence=tick)
             if heartbeat is not None:
                 if sent_count % 3 == 0:
@@ -81,7 +83,7 @@
     def test_small_fleets_use_the_shortest_interval(self):
         for peers in (0, 1, 7):
             self.assertEqual(
-                conf.HEARTBEAT_S, pacing.find_interval_s(peers=peers)
+                conf.HEARTBEAT_INTERVAL_S, pacing.find_interval_s(peers=peers)
             )
 
     def test_heartbeats_of_a_large_fleet_are_limited(self):
--- a/packages/savoryyoke/tests/peers/test_table.py
+++ b/packages/savoryyoke/tests/peers/test_table.py
@@ -68,7 +68,7 @@
         self.table.receive(
             build_heartbeat(2, contact_hosts=('10.0.0.3',)), now_s=0.0
         )
-        later_s = conf.CONTACT_MEMORY_S + 1
+        later_s = conf.CONTACT_LIFETIME_S + 1
         self.assertEqual(['10.0.0.2'], self.table.contact_hosts(now_s=later_s))
 
     def test_largest_number_of_entries_never_decreases(self):
--- a/packages/savoryyoke/tests/placement/test_dispatcher.py
+++ b/packages/savoryyoke/tests/placement/test_dispatcher.py
@@ -159,7 +159,7 @@
         for number in range(2):
             decided = self.arrive(f'r{number}', 0.1)
             self.assertEqual('t2', self.placed(decided)[f'r{number}'])
-        later_s = conf.UNREACHABLE_FIRST_S + 0.1
+        later_s = conf.UNREACHABLE_AVOIDANCE_MIN_S + 0.1
         decided = self.arrive('late', later_s)
         self.assertEqual({'late': 't1'}, self.placed(decided))
 
@@ -313,11 +313,11 @@
         self.end('t1', held_s=1.0)
         self.arrive('fill-again')
         self.arrive('first', wait_until_s=9.0)
-        self.check_retry_times(conf.RETURN_LATEST_S)
+        self.check_retry_times(conf.RETRY_AFTER_MAX_S)
 
     def test_retry_time_during_an_outage(self):
         self.publish()
-        self.check_retry_times(conf.OUTAGE_LATEST_S)
+        self.check_retry_times(conf.OUTAGE_RETRY_AFTER_MAX_S)
 
     def check_retry_times(self, latest_s):
         for time_left_s in (0.3, 3.0, 60.0):
--- a/packages/savoryyoke/tests/placement/test_notices.py
+++ b/packages/savoryyoke/tests/placement/test_notices.py
@@ -99,7 +99,7 @@
         self.assertEqual({'t1'}, set(self.arrive_often(8)))
 
     def test_hint_expires_by_its_age(self):
-        self.hint(1, age_s=conf.HINT_MEMORY_S - 1.0)
+        self.hint(1, age_s=conf.HINT_LIFETIME_S - 1.0)
         self.assertEqual({'t2'}, set(self.arrive_often(8, now_s=0.5)))
         self.assertIn('t1', self.arrive_often(8, now_s=1.5))
 
@@ -109,7 +109,7 @@
         hints = self.dispatcher.pool.notices.hints(now_s=2.0)
         self.assertEqual(['t2'], [hint.target_id for hint in hints])
         self.assertEqual([2.0], [hint.age_s for hint in hints])
-        later_s = conf.HINT_MEMORY_S
+        later_s = conf.HINT_LIFETIME_S
         self.assertEqual((), self.dispatcher.pool.notices.hints(now_s=later_s))
 
 
@@ -171,14 +171,16 @@
             decided = self.apply(events.Ticked(), now_s=now_s)
             sent_s.extend(now_s for _ in self.placed(decided))
         sent_early_s = [
-            time_s for time_s in sent_s if time_s < 1.0 + conf.PAUSE_RAMP_S / 2
+            time_s
+            for time_s in sent_s
+            if time_s < 1.0 + conf.PAUSE_RAMP_STEP_S / 2
         ]
         self.assertEqual(1, len(sent_early_s))
         self.assertGreaterEqual(len(sent_s), 9)
 
     def test_length_of_a_pause_is_limited(self):
         self.pause(build_target(1), 1e9)
-        end_s = conf.PAUSE_LONGEST_S
+        end_s = conf.PAUSE_MAX_S
         self.assertEqual({'t2'}, set(self.arrive_often(8, now_s=end_s - 1)))
         self.assertIn('t1', self.arrive_often(8, now_s=end_s + 1))
 
--- a/packages/savoryyoke/tests/published/test_pacing.py
+++ b/packages/savoryyoke/tests/published/test_pacing.py
@@ -28,7 +28,7 @@
     def test_pause_is_short_while_a_target_is_out_of_service(self):
         for entries in (8, 43, 350):
             pause_s = pacing.find_pause_s(entries=entries, is_settled=False)
-            self.assertLessEqual(pause_s, conf.URGENT_PAUSE_MOST_S)
+            self.assertLessEqual(pause_s, conf.URGENT_PAUSE_MAX_S)
 
     def test_start_of_a_fleet_makes_few_calls(self):
         """Simulate 130 changes in five seconds at one of 43 entries."""
@@ -43,7 +43,7 @@
 
     def test_pause_is_limited(self):
         pause_s = pacing.find_pause_s(entries=5000, is_settled=True)
-        self.assertEqual(conf.PAUSE_MOST_S, pause_s)
+        self.assertEqual(conf.PAUSE_MAX_S, pause_s)
 
 
 class WaitTests(unittest.TestCase):
@@ -80,10 +80,10 @@
                         renewed_s[:-entries], renewed_s[1:], strict=False
                     )
                     # The polls are spread out only after the first one.
-                    if before > conf.WAIT_MOST_S
+                    if before > conf.LONG_POLL_MAX_S
                 ]
                 self.assertLess(max(gaps_s), conf.WAIT_S)
 
     def test_poll_duration_is_limited(self):
         wait_s = pacing.find_wait_s(peers=5000, draw=lambda: 0.0)
-        self.assertEqual(conf.WAIT_MOST_S, wait_s)
+        self.assertEqual(conf.LONG_POLL_MAX_S, wait_s)
--- a/packages/savoryyoke/tests/published/test_view.py
+++ b/packages/savoryyoke/tests/published/test_view.py
@@ -80,7 +80,7 @@
 
     def test_items_still_missing_after_the_grace_period_are_removed(self):
         self.recover()
-        self.assertTrue(self.view.expire(now_s=10.0 + conf.LAPSE_GRACE_S))
+        self.assertTrue(self.view.expire(now_s=10.0 + conf.LEASE_GRACE_S))
         self.assertEqual({'config'}, set(self.view.items_by_key))
 
     def test_item_that_is_published_again_stays(self):
