--- a/packages/savoryyoke-emulator/savoryyoke_emulator/emulation.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/emulation.py
@@ -211,8 +211,10 @@
         started_s = self._clock.now_s
         rank = int(decision.target.target_id)
 
-        def end(held_s):
-            entry.end_try(decision.target.target_id, held_s=held_s)
+        def end(service_time_s):
+            entry.end_try(
+                decision.target.target_id, service_time_s=service_time_s
+            )
 
         def on_event(number):
             self._deliver(request, number)
--- a/packages/savoryyoke-emulator/savoryyoke_emulator/entries.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/entries.py
@@ -47,9 +47,9 @@
                 policy=policy,
                 is_engine=True,
                 own_data_centre='dc',
-                draw=source.random,
+                random_fraction=source.random,
             ),
-            draw=source.random,
+            random_fraction=source.random,
         )
 
     def publish(self, targets):
@@ -77,17 +77,17 @@
         """Drop a request that waits."""
         self._apply(events.RequestWithdrawn(request_id=request_id))
 
-    def end_try(self, target_id, *, held_s):
-        """Report the end of a try; ``held_s`` is None for a failed one."""
+    def end_try(self, target_id, *, service_time_s):
+        """Report a try's end; ``service_time_s`` is None if it failed."""
         result = models.TryResult.ANSWERED
-        if held_s is None:
+        if service_time_s is None:
             result = models.TryResult.BROKEN
         self._apply(
             events.TryEnded(
                 target_id=target_id,
                 incarnation=1,
                 result=result,
-                held_s=held_s,
+                service_time_s=service_time_s,
             )
         )
 
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/daemon.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/daemon.py
@@ -101,8 +101,9 @@
             knowledge=self.knowledge,
             metrics=self._metrics,
             find_pause_s=self._find_pause_s,
-            find_wait_s=lambda: published_pacing.find_wait_s(
-                peers=len(self.peering.table.alive(now_s=clock())), draw=draw
+            find_wait_s=lambda: published_pacing.choose_long_poll_s(
+                peer_count=len(self.peering.table.alive(now_s=clock())),
+                random_fraction=draw,
             ),
         )
         self._front = application.FrontApplication(
@@ -229,7 +230,9 @@
         if catalogue is None:
             return
         self._idle_limit.extend(catalogue.caller_limits.idle_timeout_s)
-        entries = max(self.peering.table.most_entries, conf.EXPECTED_ENTRIES)
+        entries = max(
+            self.peering.table.max_entry_count, conf.EXPECTED_ENTRIES
+        )
         self._allowances.set_entries(entries)
         closed = publication.closed_data_centres
         self._dispatching.publish(
@@ -241,8 +244,8 @@
         )
 
     def _find_pause_s(self):
-        return published_pacing.find_pause_s(
-            entries=self.peering.table.most_entries,
+        return published_pacing.choose_read_pause_s(
+            entry_count=self.peering.table.max_entry_count,
             is_settled=all(
                 target.is_in_service and not target.is_draining
                 for target in self.knowledge.publication.targets
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/dispatching.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/dispatching.py
@@ -10,7 +10,7 @@
 from savoryyoke.placement import events
 from savoryyoke.placement import models
 from savoryyoke.placement import pool
-from savoryyoke.placement import returns
+from savoryyoke.placement import retry_times
 
 from savoryyoke_edge import logs
 
@@ -123,7 +123,7 @@
     def take_in_hints(self, hints):
         """Take over what a peer has heard of leaving targets."""
         if hints:
-            self._apply_to_all(events.LeavingHinted(hints=tuple(hints)))
+            self._apply_to_all(events.LeavingHintsReceived(hints=tuple(hints)))
 
     def set_paces(self, paces_by_address):
         """Take over the paces of slow targets."""
@@ -198,7 +198,7 @@
     def holds_group_up(self, service_name, target_id):
         """Return whether a target is slower than most of its group."""
         current = self._dispatchers_by_service[service_name]
-        return current.pool.holds_group_up(target_id)
+        return current.pool.slows_group_down(target_id)
 
     def _find_or_create(self, name, service):
         is_engine = service is not None and service.slots is not None
@@ -209,14 +209,14 @@
                     policy=self._policy,
                     is_engine=is_engine,
                     own_data_centre=self._own_data_centre,
-                    draw=self._draw,
+                    random_fraction=self._draw,
                 ),
-                draw=self._draw,
+                random_fraction=self._draw,
             )
             current.pool.set_paces(self._paces_by_address)
             self._dispatchers_by_service[name] = current
             for peer_id, requests in self._peer_reports_by_id.items():
-                current.pool.note_peer(peer_id, requests)
+                current.pool.set_peer_requests(peer_id, requests)
         return current
 
     def _apply_to_all(self, event):
@@ -233,8 +233,8 @@
         return decisions.Refuse(
             request_id=arrival.request_id,
             reason=models.RefusalReason.NO_TARGET,
-            retry_after_s=returns.choose_return_s(
-                time_left_s=arrival.time_left_s, draw=self._draw
+            retry_after_s=retry_times.choose_retry_after_s(
+                time_left_s=arrival.time_left_s, random_fraction=self._draw
             ),
         )
 
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/following.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/following.py
@@ -56,7 +56,7 @@
         reading = None
         try:
             with anyio.CancelScope() as scope:
-                if wait_s > published_conf.WAIT_S:
+                if wait_s > published_conf.LONG_POLL_S:
                     self._long_wait = scope
                 reading = await self._source.read_changes(
                     after=self._knowledge.as_of, wait_s=wait_s
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/forwarder.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/forwarder.py
@@ -11,7 +11,7 @@
 from savoryyoke.placement import decisions as placement_decisions
 from savoryyoke.placement import events as placement_events
 from savoryyoke.placement import lateness
-from savoryyoke.placement import returns
+from savoryyoke.placement import retry_times
 from savoryyoke.quarantine import fingerprints
 
 from savoryyoke_gateway import calls
@@ -26,7 +26,7 @@
     decisions.FinishStream: 'streamed',
     decisions.Refuse: 'refused',
     decisions.Fail: 'failed',
-    decisions.BreakOff: 'broken-off',
+    decisions.AbortStream: 'broken-off',
 }
 
 
@@ -73,7 +73,7 @@
             find_hedge=self._find_hedge,
             clock=clock,
         )
-        self._patience = lateness.CallerPatience()
+        self._patience = lateness.SpentTimeEstimator()
         self._placement_numbers = itertools.count(1)
 
     async def serve(self, request, body, channel, *, arrived_s):
@@ -220,7 +220,7 @@
 
     async def _place(self, call):
         now_s = self._clock()
-        spent_s = self._patience.note(
+        spent_s = self._patience.record(
             call.route.name, time_left_s=call.request.time_left_s
         )
         is_on_time = spent_s < call.route.objective_s
@@ -296,7 +296,7 @@
         """Return placement's decision on a further try."""
         return self._dispatching.repeat(
             call.service_name,
-            placement_events.RepeatAsked(
+            placement_events.RetryRequested(
                 request_id=call.placement_id,
                 tried_target_ids=decision.tried_target_ids,
                 time_left_s=time_left_s,
@@ -327,7 +327,7 @@
             case decisions.Fail():
                 call.status = 504 if decision.timed_out else 502
                 await call.channel.answer(status=call.status)
-            case decisions.BreakOff():
+            case decisions.AbortStream():
                 pass
 
     def _write_call_refusal(self, call):
@@ -341,7 +341,7 @@
 
     def _write_refusal(self, time_left_s):
         return self._translator.write_refusal(
-            retry_after_s=returns.choose_return_s(
-                time_left_s=time_left_s, draw=self._draw
+            retry_after_s=retry_times.choose_retry_after_s(
+                time_left_s=time_left_s, random_fraction=self._draw
             )
         )
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
@@ -113,7 +113,9 @@
                     await anyio.sleep(self._interval_s())
 
     def _interval_s(self):
-        return pacing.find_interval_s(peers=self.table.most_entries - 1)
+        return pacing.choose_interval_s(
+            peer_count=self.table.max_entry_count - 1
+        )
 
     async def _send_heartbeats(self):
         heartbeat = self._pacing.select(
@@ -180,8 +182,10 @@
                 messages.InFlight(target_id=target_id, requests=requests)
                 for target_id, requests in in_flight.items()
             ),
-            contact_hosts=self.table.hosts_alive(now_s=self._clock()),
-            slow_targets=self._slow_targets.to_pass_on(now_s=self._clock()),
+            contact_hosts=self.table.alive_hosts(now_s=self._clock()),
+            slow_targets=self._slow_targets.reports_to_forward(
+                now_s=self._clock()
+            ),
             leaving_targets=self._dispatching.leaving_hints(),
             evidence_digest=self._suspects.digest(),
             crashes=self._suspects.reports_due(
@@ -212,7 +216,7 @@
                 x.target_id: x.requests for x in heartbeat.in_flight
             },
         )
-        self._slow_targets.note_passed(
+        self._slow_targets.record_forwarded(
             heartbeat.slow_targets, now_s=self._clock()
         )
         self._dispatching.take_in_hints(heartbeat.leaving_targets)
@@ -227,7 +231,7 @@
             )
 
     def _drop_silent_peers(self):
-        for peer_id in self.table.forget_silent(now_s=self._clock()):
+        for peer_id in self.table.remove_silent(now_s=self._clock()):
             self._dispatching.lose_peer(peer_id)
             self._names_alive.discard(peer_id)
             logs.write_event(
@@ -257,7 +261,7 @@
                     )
                     continue
                 if isinstance(message, wire_group.PaceReport):
-                    self._slow_targets.note(
+                    self._slow_targets.record(
                         message.address, message.pace, now_s=self._clock()
                     )
 
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/tries.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/tries.py
@@ -206,7 +206,7 @@
         self, call, target, exchange, attempt, head, resume_after
     ):
         """Pass whole events on as they come; return what follows the end."""
-        splitter = framing.EventSplitter(after=resume_after)
+        splitter = framing.EventSplitter(last_event_id=resume_after)
         async for part in exchange.read():
             whole = _split(splitter, part)
             if not whole:
@@ -219,7 +219,7 @@
             if move is not None:
                 return move
         attempt.is_waiting = False
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise exceptions.ExchangeBroken('torn')
         await self._begin_stream(call, target, head)
         attempt.result = _Result.ANSWERED
@@ -267,9 +267,9 @@
             await call.channel.begin(status=head.status, headers=head.headers)
 
     def _end_try(self, call, target, attempt):
-        held_s = None
+        service_time_s = None
         if attempt.result is _Result.ANSWERED:
-            held_s = self._clock() - attempt.started_s
+            service_time_s = self._clock() - attempt.started_s
             self._suspects.note_answered(call, target)
         elif attempt.result is _Result.WITHDRAWN:
             if attempt.sent_s is not None:
@@ -282,7 +282,7 @@
                 incarnation=target.incarnation,
                 result=attempt.result,
                 latency_s=attempt.first_byte_s,
-                held_s=held_s,
+                service_time_s=service_time_s,
             ),
         )
         if attempt.result is not _Result.ANSWERED and not call.first_cause:
--- a/packages/savoryyoke-gateway/tests/test_following.py
+++ b/packages/savoryyoke-gateway/tests/test_following.py
@@ -80,4 +80,4 @@
             await anyio.sleep(0.05)
             self.assertEqual(1, len(source.waits_s))
 
-        self.follow(wait_s=published_conf.WAIT_S, scenario=scenario)
+        self.follow(wait_s=published_conf.LONG_POLL_S, scenario=scenario)
--- a/packages/savoryyoke-soak/savoryyoke_soak/mutants.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/mutants.py
@@ -95,12 +95,12 @@
 def _ignore_notices():
     """Forget that a target has said that it leaves."""
     notices.TargetNotices.is_leaving = lambda self, target: False
-    notices.TargetNotices.is_hinted = lambda self, target, now_s: False
+    notices.TargetNotices.has_leaving_hint = lambda self, target, now_s: False
 
 
 def _ignore_pauses():
     """Send to a target that wants nothing."""
-    notices.TargetNotices.most_in_flight = lambda self, target, now_s: None
+    notices.TargetNotices.in_flight_limit = lambda self, target, now_s: None
 
 
 def _hold_answers():
--- a/packages/savoryyoke/savoryyoke/forwarding/decisions.py
+++ b/packages/savoryyoke/savoryyoke/forwarding/decisions.py
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class BreakOff:
+class AbortStream:
     """Close the caller's stream in a way that shows it is incomplete."""
 
     reason: str
--- a/packages/savoryyoke/savoryyoke/forwarding/framing.py
+++ b/packages/savoryyoke/savoryyoke/forwarding/framing.py
@@ -27,16 +27,17 @@
     """Buffer received bytes and return complete events.
 
     Numeric ids must increase: an event is dropped if its id is not above that
-    of the last event, or not above ``after``. Comments are dropped too.
+    of the event before it. The first event is compared with ``last_event_id``.
+    Comments are dropped too.
     """
 
-    def __init__(self, *, after=None):
+    def __init__(self, *, last_event_id=None):
         self._buffer = bytearray()
-        self._last_number = _to_number(after)
+        self._last_number = _to_number(last_event_id)
         self._bytes_since_event = 0
 
     @property
-    def has_rest(self):
+    def has_partial_event(self):
         """Return whether an incomplete event is buffered."""
         return bool(self._buffer.strip())
 
--- a/packages/savoryyoke/savoryyoke/forwarding/ledger.py
+++ b/packages/savoryyoke/savoryyoke/forwarding/ledger.py
@@ -130,7 +130,7 @@
     @apply.register
     def _(self, event: events.TimeRanOut):
         if self._is_streaming:
-            return decisions.BreakOff(reason='timeout')
+            return decisions.AbortStream(reason='timeout')
         if self._may_have_run or self._open_try_count:
             return decisions.Fail(reason='timeout', timed_out=True)
         return decisions.Refuse(reason='timeout')
@@ -147,7 +147,7 @@
     def _conclude(self, reason):
         """Return the final decision when no further try is possible."""
         if self._is_streaming:
-            return decisions.BreakOff(reason=reason)
+            return decisions.AbortStream(reason=reason)
         if self._has_failure_answer:
             return decisions.Deliver()
         if self._may_have_run:
--- a/packages/savoryyoke/savoryyoke/peers/pacing.py
+++ b/packages/savoryyoke/savoryyoke/peers/pacing.py
@@ -60,14 +60,17 @@
     return dataclasses.replace(heartbeat, sequence=0, leaving_targets=leaving)
 
 
-def find_interval_s(*, peers):
+def choose_interval_s(*, peer_count):
     """Return the seconds between two heartbeats.
 
-    ``peers`` is the number of other entries. The interval grows with it,
+    ``peer_count`` is the number of other entries. The interval grows with it,
     because every entry sends to every other.
     """
     return max(
         conf.HEARTBEAT_INTERVAL_S,
-        min(peers * conf.HEARTBEAT_PER_PEER_S, conf.HEARTBEAT_SAFE_INTERVAL_S),
-        peers * conf.HEARTBEAT_MIN_PER_PEER_S,
+        min(
+            peer_count * conf.HEARTBEAT_PER_PEER_S,
+            conf.HEARTBEAT_SAFE_INTERVAL_S,
+        ),
+        peer_count * conf.HEARTBEAT_MIN_PER_PEER_S,
     )
--- a/packages/savoryyoke/savoryyoke/peers/slow_targets.py
+++ b/packages/savoryyoke/savoryyoke/peers/slow_targets.py
@@ -16,16 +16,16 @@
         self._own_by_address = {}
         self._forwarded_by_address = {}
 
-    def note(self, address, pace, *, now_s):
+    def record(self, address, pace, *, now_s):
         """Record a report from the target's own VM."""
         self._own_by_address[address] = (pace, now_s)
 
-    def note_passed(self, targets, *, now_s):
+    def record_forwarded(self, targets, *, now_s):
         """Record the ``SlowTarget`` reports of another entry."""
         for target in targets:
             self._forwarded_by_address[target.address] = (target.pace, now_s)
 
-    def to_pass_on(self, *, now_s):
+    def reports_to_forward(self, *, now_s):
         """Return the ``SlowTarget`` reports to send to other entries."""
         return tuple(
             messages.SlowTarget(address=address, pace=pace)
--- a/packages/savoryyoke/savoryyoke/peers/table.py
+++ b/packages/savoryyoke/savoryyoke/peers/table.py
@@ -28,7 +28,7 @@
         self._max_alive = 0
 
     @property
-    def most_entries(self):
+    def max_entry_count(self):
         """Return the largest number of entries alive at once, with this one.
 
         Limits that hold over all entries are divided by it, so that a peer
@@ -71,7 +71,7 @@
             if now_s - peer.received_s <= conf.PEER_TIMEOUT_S
         ]
 
-    def forget_silent(self, *, now_s):
+    def remove_silent(self, *, now_s):
         """Remove the peers whose timeout has passed; return their ids."""
         silent_ids = [
             peer_id
@@ -91,7 +91,7 @@
         }
         return sorted(self._seed_hosts | set(self._contact_seen_s_by_host))
 
-    def hosts_alive(self, *, now_s):
+    def alive_hosts(self, *, now_s):
         """Return hosts of live peers, at most ``HEARTBEAT_CONTACTS_LIMIT``."""
         hosts = sorted(
             heartbeat.sender_host for heartbeat in self.alive(now_s=now_s)
--- a/packages/savoryyoke/savoryyoke/placement/dispatcher.py
+++ b/packages/savoryyoke/savoryyoke/placement/dispatcher.py
@@ -9,7 +9,7 @@
 from savoryyoke.placement import events
 from savoryyoke.placement import exceptions
 from savoryyoke.placement import models
-from savoryyoke.placement import returns
+from savoryyoke.placement import retry_times
 
 _Reason = models.RefusalReason
 
@@ -37,12 +37,12 @@
     paused, a request that can't wait for the end of the earliest pause is
     refused and retried after it.
 
-    ``draw`` returns a random number from 0 to 1.
+    ``random_fraction`` is a function that returns a random number from 0 to 1.
     """
 
-    def __init__(self, *, pool, draw):
+    def __init__(self, *, pool, random_fraction):
         self._pool = pool
-        self._draw = draw
+        self._random_fraction = random_fraction
         self._queue = []
         self._sequence = 0
         self._mean_service_time_s = None
@@ -75,35 +75,37 @@
 
     @_apply.register
     def _(self, event: events.PeerReported, now_s):
-        self._pool.note_peer(event.peer_id, event.requests_by_target_id)
+        self._pool.set_peer_requests(
+            event.peer_id, event.requests_by_target_id
+        )
         return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.PeerLost, now_s):
-        self._pool.drop_peer(event.peer_id)
+        self._pool.remove_peer(event.peer_id)
         return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.TryEnded, now_s):
-        self._pool.release(event, now_s=now_s)
-        self._record_service_time(event.held_s)
+        self._pool.record_try_end(event, now_s=now_s)
+        self._record_service_time(event.service_time_s)
         return self._process_queue(now_s)
 
     @_apply.register
     def _(self, event: events.TargetLeaving, now_s):
-        self._pool.notices.note_leaving(event.target, now_s=now_s)
+        self._pool.notices.record_leaving(event.target, now_s=now_s)
         return ()
 
     @_apply.register
     def _(self, event: events.TargetPaused, now_s):
-        self._pool.notices.note_pause(
+        self._pool.notices.record_pause(
             event.target, pause_s=event.pause_s, now_s=now_s
         )
         return self._process_queue(now_s)
 
     @_apply.register
-    def _(self, event: events.LeavingHinted, now_s):
-        self._pool.notices.note_hints(event.hints, now_s=now_s)
+    def _(self, event: events.LeavingHintsReceived, now_s):
+        self._pool.notices.record_hints(event.hints, now_s=now_s)
         return ()
 
     @_apply.register
@@ -120,7 +122,7 @@
         return ()
 
     @_apply.register
-    def _(self, event: events.RepeatAsked, now_s):
+    def _(self, event: events.RetryRequested, now_s):
         target = self._pool.choose(
             now_s=now_s,
             regions=event.regions,
@@ -133,7 +135,7 @@
 
     @_apply.register
     def _(self, event: events.RequestArrived, now_s):
-        if not self._pool.serves(
+        if not self._pool.has_usable_target(
             regions=event.regions, withheld_releases=event.withheld_releases
         ):
             return self._handle_no_service(event, now_s)
@@ -147,7 +149,9 @@
         return decided
 
     def _handle_no_service(self, event, now_s):
-        if event.is_on_time or not self._pool.lists(regions=event.regions):
+        if event.is_on_time or not self._pool.has_possible_target(
+            regions=event.regions
+        ):
             return [self._refuse(event, _Reason.NO_TARGET)]
         self._enqueue(event, now_s)
         return ()
@@ -185,7 +189,7 @@
 
     def _place(self, request_id, target, now_s):
         in_flight = self._pool.in_flight(target.target_id)
-        self._pool.take(target.target_id, now_s=now_s)
+        self._pool.record_sent(target.target_id, now_s=now_s)
         return decisions.Place(
             request_id=request_id, target=target, in_flight=in_flight
         )
@@ -208,7 +212,7 @@
             request_id=arrival.request_id,
             reason=_Reason.ALL_PAUSED,
             retry_after_s=pause_left_s
-            + self._draw() * conf.PAUSE_RETRY_SPREAD_S,
+            + self._random_fraction() * conf.PAUSE_RETRY_SPREAD_S,
         )
 
     def _would_wait_too_long(self, waiting, now_s):
@@ -224,23 +228,24 @@
         expected_wait_s = position * self._mean_service_time_s / in_flight
         return now_s + expected_wait_s > waiting.arrival.wait_until_s
 
-    def _record_service_time(self, held_s):
-        if held_s is None:
+    def _record_service_time(self, service_time_s):
+        if service_time_s is None:
             return
         if self._mean_service_time_s is None:
-            self._mean_service_time_s = held_s
+            self._mean_service_time_s = service_time_s
         self._mean_service_time_s += conf.RESULT_WEIGHT * (
-            held_s - self._mean_service_time_s
+            service_time_s - self._mean_service_time_s
         )
 
     def _refuse(self, event, reason):
-        choose_return_s = returns.choose_return_s
+        choose_retry_after_s = retry_times.choose_retry_after_s
         if reason is _Reason.NO_TARGET:
-            choose_return_s = returns.choose_return_after_outage_s
+            choose_retry_after_s = retry_times.choose_outage_retry_after_s
         return decisions.Refuse(
             request_id=event.request_id,
             reason=reason,
-            retry_after_s=choose_return_s(
-                time_left_s=event.time_left_s, draw=self._draw
+            retry_after_s=choose_retry_after_s(
+                time_left_s=event.time_left_s,
+                random_fraction=self._random_fraction,
             ),
         )
--- a/packages/savoryyoke/savoryyoke/placement/events.py
+++ b/packages/savoryyoke/savoryyoke/placement/events.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RepeatAsked:
+class RetryRequested:
     """Request a target for a retry, excluding ``tried_target_ids``.
 
     The other fields are those of ``RequestArrived``.
@@ -75,15 +75,15 @@
     """Report the end of a try, which is one sending of a request to a target.
 
     ``latency_s`` is the time to the head of the answer, or None if there was
-    none. ``held_s`` is the time to the end of the answer, or None if the try
-    was not answered.
+    none. ``service_time_s`` is the time to the end of the answer, or None if
+    the try was not answered.
     """
 
     target_id: str
     incarnation: int
     result: models.TryResult
     latency_s: float | None = None
-    held_s: float | None = None
+    service_time_s: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class LeavingHinted:
+class LeavingHintsReceived:
     """Report the leaving targets that another entry has listed."""
 
     hints: tuple[notices.LeavingTarget, ...]
--- a/packages/savoryyoke/savoryyoke/placement/lateness.py
+++ b/packages/savoryyoke/savoryyoke/placement/lateness.py
@@ -1,7 +1,7 @@
 """Estimate how long callers have already waited for a request."""
 
 
-class CallerPatience:
+class SpentTimeEstimator:
     """Estimate the time that a caller has spent on earlier attempts.
 
     All callers of a route have the same total timeout. A caller with less
@@ -12,7 +12,7 @@
     def __init__(self):
         self._longest_s_by_route = {}
 
-    def note(self, route_name, *, time_left_s):
+    def record(self, route_name, *, time_left_s):
         """Record a request and return the seconds spent before it.
 
         Return 0 if the caller states no time (``time_left_s`` is None).
--- a/packages/savoryyoke/savoryyoke/placement/notices.py
+++ b/packages/savoryyoke/savoryyoke/placement/notices.py
@@ -35,14 +35,14 @@
         self._hint_announced_s_by_key = collections.OrderedDict()
         self._pause_ends_s_by_key = {}
 
-    def note_leaving(self, target, *, now_s):
+    def record_leaving(self, target, *, now_s):
         """Record that a target leaves; return whether that is new."""
         if self.is_leaving(target):
             return False
         _put_newest(self._announced_s_by_key, _build_key(target), now_s)
         return True
 
-    def note_hints(self, hints, *, now_s):
+    def record_hints(self, hints, *, now_s):
         """Record the ``LeavingTarget`` hints of another entry."""
         for hint in hints:
             key = (hint.target_id, hint.incarnation)
@@ -53,7 +53,7 @@
             )
             _put_newest(self._hint_announced_s_by_key, key, announced_s)
 
-    def note_pause(self, target, *, pause_s, now_s):
+    def record_pause(self, target, *, pause_s, now_s):
         """Record a requested pause; return the time at which it ends.
 
         Of several pauses the latest end counts. A pause is limited to
@@ -75,7 +75,7 @@
         """Return whether a target has announced that it leaves."""
         return _build_key(target) in self._announced_s_by_key
 
-    def is_hinted(self, target, *, now_s):
+    def has_leaving_hint(self, target, *, now_s):
         """Return whether an unexpired hint says that a target leaves."""
         announced_s = self._hint_announced_s_by_key.get(_build_key(target))
         return (
@@ -88,7 +88,7 @@
         end_s = self._pause_ends_s_by_key.get(_build_key(target))
         return end_s if end_s is not None and now_s < end_s else None
 
-    def most_in_flight(self, target, *, now_s):
+    def in_flight_limit(self, target, *, now_s):
         """Return the limit of requests in flight; None without a limit."""
         end_s = self._pause_ends_s_by_key.get(_build_key(target))
         if end_s is None:
--- a/packages/savoryyoke/savoryyoke/placement/pool.py
+++ b/packages/savoryyoke/savoryyoke/placement/pool.py
@@ -25,7 +25,7 @@
         """Record that a request is sent."""
         self._sent_times_s.append(now_s)
 
-    def allows_request(self, rate_per_s, *, now_s, draw):
+    def allows_request(self, rate_per_s, *, now_s, random_fraction):
         """Return whether a further request stays within the rate limit."""
         while (
             self._sent_times_s
@@ -37,7 +37,9 @@
         window_number = now_s // conf.COLD_WINDOW_S
         if window_number != self._window_number:
             self._window_number = window_number
-            self._may_send_one = draw() < rate_per_s / conf.COLD_SHARE
+            self._may_send_one = (
+                random_fraction() < rate_per_s / conf.COLD_SHARE
+            )
         return self._may_send_one and not self._sent_times_s
 
 
@@ -55,15 +57,15 @@
     """Own the state of the targets of one service at one entry.
 
     ``is_engine`` is true for a service whose targets are inference engines,
-    which process their requests in batches. ``draw`` returns a random number
-    from 0 to 1.
+    which process their requests in batches. ``random_fraction`` is a function
+    that returns a random number from 0 to 1.
     """
 
-    def __init__(self, *, policy, is_engine, own_data_centre, draw):
+    def __init__(self, *, policy, is_engine, own_data_centre, random_fraction):
         self._policy = policy
         self._is_engine = is_engine
         self._own_data_centre = own_data_centre
-        self._draw = draw
+        self._random_fraction = random_fraction
         self._cold_rate_per_s = None
         self._states_by_id = {}
         self._paces_by_address = {}
@@ -99,13 +101,13 @@
             states_by_id[target.target_id] = state
         self._states_by_id = states_by_id
 
-    def note_peer(self, peer_id, requests_by_target_id):
+    def set_peer_requests(self, peer_id, requests_by_target_id):
         """Set the number of requests that a peer has in flight."""
-        self.drop_peer(peer_id)
+        self.remove_peer(peer_id)
         self._requests_by_target_by_peer[peer_id] = requests_by_target_id
         self._peer_requests_by_target.update(requests_by_target_id)
 
-    def drop_peer(self, peer_id):
+    def remove_peer(self, peer_id):
         """Remove the requests that a peer had in flight."""
         reported = self._requests_by_target_by_peer.pop(peer_id, {})
         for target_id, requests in reported.items():
@@ -123,7 +125,7 @@
             if state.own_in_flight
         }
 
-    def holds_group_up(self, target_id):
+    def slows_group_down(self, target_id):
         """Return whether an engine is slower than most of its group."""
         state = self._states_by_id.get(target_id)
         if state is None or not self._is_engine:
@@ -136,13 +138,13 @@
         own = state.own_in_flight if state else 0
         return own + self._peer_requests_by_target[target_id]
 
-    def take(self, target_id, *, now_s):
+    def record_sent(self, target_id, *, now_s):
         """Record that a request is sent to a target."""
         state = self._states_by_id[target_id]
         state.own_in_flight += 1
         state.cold_rate.record_sent(now_s)
 
-    def release(self, event, *, now_s):
+    def record_try_end(self, event, *, now_s):
         """Record the ``TryEnded`` event of a request sent to a target.
 
         An event of an earlier incarnation is ignored.
@@ -159,14 +161,16 @@
         """Return the releases that the targets run."""
         return frozenset(state.target.release for state in self._all_states())
 
-    def serves(self, *, regions=frozenset(), withheld_releases=frozenset()):
+    def has_usable_target(
+        self, *, regions=frozenset(), withheld_releases=frozenset()
+    ):
         """Return whether a target is in service, full or not."""
         return any(
             self._is_usable(state, regions, withheld_releases)
             for state in self._all_states()
         )
 
-    def lists(self, *, regions=frozenset()):
+    def has_possible_target(self, *, regions=frozenset()):
         """Return whether a listed target is or may come into service."""
         return any(
             not self._is_leaving(state.target)
@@ -202,7 +206,7 @@
     ):
         """Return the best target with free capacity, or None."""
         candidates = [
-            (self._score(state, now_s), self._draw(), state.target)
+            (self._score(state, now_s), self._random_fraction(), state.target)
             for state in self._all_states()
             if state.target.target_id not in excluded
             and self._is_usable(state, regions, withheld_releases)
@@ -232,7 +236,7 @@
             return False
         if not self._is_within_cold_rate(state, now_s):
             return False
-        limit = self.notices.most_in_flight(state.target, now_s=now_s)
+        limit = self.notices.in_flight_limit(state.target, now_s=now_s)
         if limit is not None and state.own_in_flight >= limit:
             return False
         if self._is_engine and self._slows_group_down(state):
@@ -257,7 +261,9 @@
         if self._cold_rate_per_s is None:
             return True
         return state.cold_rate.allows_request(
-            self._cold_rate_per_s, now_s=now_s, draw=self._draw
+            self._cold_rate_per_s,
+            now_s=now_s,
+            random_fraction=self._random_fraction,
         )
 
     def _limit(self, target):
@@ -278,7 +284,7 @@
         failure_rate = state.health.failure_rate(now_s=now_s)
         failure_penalty = conf.FAILURE_PENALTY * failure_rate
         is_remote = target.data_centre != self._own_data_centre
-        is_hinted = self.notices.is_hinted(target, now_s=now_s)
+        is_hinted = self.notices.has_leaving_hint(target, now_s=now_s)
         if self._is_engine:
             return (
                 is_hinted,
--- a/packages/savoryyoke/savoryyoke/published/conf.py
+++ b/packages/savoryyoke/savoryyoke/published/conf.py
@@ -23,7 +23,7 @@
 # Duration of a long poll, which is a read that waits for a change. It detects
 # a silent connection within the three seconds after an outage in which an
 # entry must be in contact with the platform again.
-WAIT_S = 2.0
+LONG_POLL_S = 2.0
 # Duration of a long poll per peer whose heartbeats arrive. With it, at least
 # one entry of the fleet renews its poll every quarter of a second and informs
 # the others about changes. The platform ends a poll after 30 s at most.
--- a/packages/savoryyoke/savoryyoke/published/pacing.py
+++ b/packages/savoryyoke/savoryyoke/published/pacing.py
@@ -3,33 +3,35 @@
 from savoryyoke.published import conf
 
 
-def find_pause_s(*, entries, is_settled):
+def choose_read_pause_s(*, entry_count, is_settled):
     """Return the pause in seconds after a change, before the next read.
 
-    In a large fleet of ``entries`` entries, every change makes every entry
+    In a large fleet of ``entry_count`` entries, every change makes every entry
     call the platform. A pause combines the changes that happen during it into
     one read. ``is_settled`` is false while a target is out of service; the
     pause is shorter then, because callers may be waiting for the target.
     """
-    if entries <= conf.SMALL_FLEET_ENTRIES:
+    if entry_count <= conf.SMALL_FLEET_ENTRIES:
         return 0.0
     if not is_settled:
         return min(
-            entries * conf.URGENT_PAUSE_PER_ENTRY_S, conf.URGENT_PAUSE_MAX_S
+            entry_count * conf.URGENT_PAUSE_PER_ENTRY_S,
+            conf.URGENT_PAUSE_MAX_S,
         )
-    return min(entries * conf.PAUSE_PER_ENTRY_S, conf.PAUSE_MAX_S)
+    return min(entry_count * conf.PAUSE_PER_ENTRY_S, conf.PAUSE_MAX_S)
 
 
-def find_wait_s(*, peers, draw):
+def choose_long_poll_s(*, peer_count, random_fraction):
     """Return the duration of a long poll for changes, in seconds.
 
-    ``peers`` is the number of other entries whose heartbeats arrive. In a
+    ``peer_count`` is the number of other entries whose heartbeats arrive. In a
     large fleet, most calls to the platform are renewed polls, so the duration
     grows with the number of peers. An entry without peers has to detect a
-    silent connection by itself, so its polls are short. ``draw`` returns a
-    random number from 0 to 1.
+    silent connection by itself, so its polls are short. ``random_fraction`` is
+    a function that returns a random number from 0 to 1.
     """
-    wait_s = min(peers * conf.LONG_POLL_PER_PEER_S, conf.LONG_POLL_MAX_S)
+    wait_s = min(peer_count * conf.LONG_POLL_PER_PEER_S, conf.LONG_POLL_MAX_S)
     return max(
-        wait_s * (1 - conf.LONG_POLL_SPREAD_SHARE * draw()), conf.WAIT_S
+        wait_s * (1 - conf.LONG_POLL_SPREAD_SHARE * random_fraction()),
+        conf.LONG_POLL_S,
     )
--- a/packages/savoryyoke/tests/forwarding/test_framing.py
+++ b/packages/savoryyoke/tests/forwarding/test_framing.py
@@ -21,16 +21,16 @@
             self.assertEqual(
                 stream, b''.join(event.data for event in completed)
             )
-            self.assertFalse(splitter.has_rest)
+            self.assertFalse(splitter.has_partial_event)
 
     def test_incomplete_event_is_not_returned(self):
         splitter = framing.EventSplitter()
         completed = splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
         self.assertEqual(['1'], [event.event_id for event in completed])
-        self.assertTrue(splitter.has_rest)
+        self.assertTrue(splitter.has_partial_event)
 
     def test_events_with_repeated_ids_are_dropped(self):
-        splitter = framing.EventSplitter(after='2')
+        splitter = framing.EventSplitter(last_event_id='2')
         completed = splitter.feed(
             b'id: 1\n\nid: 2\n\nid: 3\n\nid: 3\n\nid: 4\n\n'
         )
--- a/packages/savoryyoke/tests/forwarding/test_ledger.py
+++ b/packages/savoryyoke/tests/forwarding/test_ledger.py
@@ -151,13 +151,13 @@
         decision = request_ledger.apply(
             events.TryBroken(target_id='t1', reason='reset')
         )
-        self.assertEqual(decisions.BreakOff(reason='reset'), decision)
+        self.assertEqual(decisions.AbortStream(reason='reset'), decision)
 
     def test_broken_stream_without_another_target_is_aborted(self):
         request_ledger = self.start(may_repeat=True)
         request_ledger.apply(events.TryBroken(target_id='t1', reason='reset'))
         self.assertIsInstance(
-            request_ledger.apply(events.NoOtherTarget()), decisions.BreakOff
+            request_ledger.apply(events.NoOtherTarget()), decisions.AbortStream
         )
 
     def test_stream_leaves_a_slow_target(self):
@@ -178,7 +178,7 @@
     def test_timeout_aborts_a_stream(self):
         request_ledger = self.start(may_repeat=True)
         self.assertIsInstance(
-            request_ledger.apply(events.TimeRanOut()), decisions.BreakOff
+            request_ledger.apply(events.TimeRanOut()), decisions.AbortStream
         )
 
 
--- a/packages/savoryyoke/tests/peers/test_pacing.py
+++ b/packages/savoryyoke/tests/peers/test_pacing.py
@@ -75,7 +75,7 @@
                 if sent_count % 3 == 0:
                     receiver.receive(heartbeat, now_s=now_s)
                 sent_count += 1
-            self.assertEqual([], receiver.forget_silent(now_s=now_s))
+            self.assertEqual([], receiver.remove_silent(now_s=now_s))
         self.assertLess(sent_count, 80)
 
 
@@ -83,17 +83,18 @@
     def test_small_fleets_use_the_shortest_interval(self):
         for peers in (0, 1, 7):
             self.assertEqual(
-                conf.HEARTBEAT_INTERVAL_S, pacing.find_interval_s(peers=peers)
+                conf.HEARTBEAT_INTERVAL_S,
+                pacing.choose_interval_s(peer_count=peers),
             )
 
     def test_heartbeats_of_a_large_fleet_are_limited(self):
         for peers, limit_per_s in ((42, 200), (79, 200), (349, 500)):
             with self.subTest(peers=peers):
-                interval_s = pacing.find_interval_s(peers=peers)
+                interval_s = pacing.choose_interval_s(peer_count=peers)
                 self.assertLessEqual(peers / interval_s, limit_per_s)
 
     def test_one_lost_heartbeat_does_not_exceed_the_timeout(self):
         for peers in (7, 42, 79, 199):
             with self.subTest(peers=peers):
-                interval_s = pacing.find_interval_s(peers=peers)
+                interval_s = pacing.choose_interval_s(peer_count=peers)
                 self.assertLess(2 * interval_s, conf.PEER_TIMEOUT_S)
--- a/packages/savoryyoke/tests/peers/test_table.py
+++ b/packages/savoryyoke/tests/peers/test_table.py
@@ -74,8 +74,8 @@
     def test_largest_number_of_entries_never_decreases(self):
         self.table.receive(build_heartbeat(2), now_s=0.0)
         self.table.receive(build_heartbeat(3), now_s=0.0)
-        self.table.forget_silent(now_s=9.0)
-        self.assertEqual(3, self.table.most_entries)
+        self.table.remove_silent(now_s=9.0)
+        self.assertEqual(3, self.table.max_entry_count)
 
 
 class DirectoryTests(unittest.TestCase):
@@ -95,21 +95,24 @@
         self.reports = slow_targets.SlowTargets()
 
     def test_report_expires(self):
-        self.reports.note('a:1', 4.0, now_s=0.0)
+        self.reports.record('a:1', 4.0, now_s=0.0)
         self.assertEqual({'a:1': 4.0}, self.reports.paces(now_s=0.9))
         self.assertEqual({}, self.reports.paces(now_s=1.1))
-        self.assertEqual((), self.reports.to_pass_on(now_s=1.1))
+        self.assertEqual((), self.reports.reports_to_forward(now_s=1.1))
 
     def test_only_reports_from_the_targets_vm_are_forwarded(self):
-        self.reports.note('a:1', 4.0, now_s=0.0)
+        self.reports.record('a:1', 4.0, now_s=0.0)
         forwarded = (messages.SlowTarget(address='b:1', pace=2.0),)
-        self.reports.note_passed(forwarded, now_s=0.0)
+        self.reports.record_forwarded(forwarded, now_s=0.0)
         self.assertEqual(
             {'a:1': 4.0, 'b:1': 2.0}, self.reports.paces(now_s=0.5)
         )
         self.assertEqual(
             ['a:1'],
-            [target.address for target in self.reports.to_pass_on(now_s=0.5)],
+            [
+                target.address
+                for target in self.reports.reports_to_forward(now_s=0.5)
+            ],
         )
 
 
--- a/packages/savoryyoke/tests/placement/test_dispatcher.py
+++ b/packages/savoryyoke/tests/placement/test_dispatcher.py
@@ -39,7 +39,7 @@
         self.publish(build_target(1), build_target(2))
 
     def build(self, *, is_engine, per_target=4):
-        draw = random.Random(_SEED).random
+        random_fraction = random.Random(_SEED).random
         self.dispatcher = dispatcher.Dispatcher(
             pool=pool.TargetPool(
                 policy=conf.PlacementPolicy(
@@ -47,9 +47,9 @@
                 ),
                 is_engine=is_engine,
                 own_data_centre='dc-a',
-                draw=draw,
+                random_fraction=random_fraction,
             ),
-            draw=draw,
+            random_fraction=random_fraction,
         )
 
     def publish(self, *targets, now_s=0.0):
@@ -135,7 +135,7 @@
         withheld = frozenset({''})
         decided = self.arrive('r', withheld_releases=withheld)
         self.assertEqual({'r': 't1'}, self.placed(decided))
-        repeat = events.RepeatAsked(
+        repeat = events.RetryRequested(
             request_id='r',
             tried_target_ids=frozenset({'t1'}),
             time_left_s=1.0,
@@ -190,7 +190,7 @@
 
     def test_repeat_avoids_tried_targets(self):
         decided = self.apply(
-            events.RepeatAsked(
+            events.RetryRequested(
                 request_id='r',
                 tried_target_ids=frozenset({'t1'}),
                 time_left_s=1.0,
@@ -198,7 +198,7 @@
         )
         self.assertEqual({'r': 't2'}, self.placed(decided))
         decided = self.apply(
-            events.RepeatAsked(
+            events.RetryRequested(
                 request_id='r',
                 tried_target_ids=frozenset({'t1', 't2'}),
                 time_left_s=1.0,
@@ -301,7 +301,7 @@
         self.assertEqual((), self.end('t1', 0.1))
 
     def test_request_behind_a_long_queue_is_refused_on_arrival(self):
-        self.end('t1', held_s=1.0)
+        self.end('t1', service_time_s=1.0)
         self.arrive('fill-again')
         self.arrive('first', wait_until_s=9.0)
         decided = self.arrive('r')
@@ -310,7 +310,7 @@
         )
 
     def test_retry_time_is_within_what_callers_honour(self):
-        self.end('t1', held_s=1.0)
+        self.end('t1', service_time_s=1.0)
         self.arrive('fill-again')
         self.arrive('first', wait_until_s=9.0)
         self.check_retry_times(conf.RETRY_AFTER_MAX_S)
@@ -390,7 +390,9 @@
                 )
             while ends and ends[0][0] <= now_s:
                 _, target_id = ends.pop(0)
-                decided += self.end(target_id, now_s, held_s=self.RUN_S)
+                decided += self.end(
+                    target_id, now_s, service_time_s=self.RUN_S
+                )
             decided += self.apply(events.Ticked(), now_s)
             while due and due[0][0] <= now_s:
                 _, number, is_first = due.pop(0)
--- a/packages/savoryyoke/tests/placement/test_lateness.py
+++ b/packages/savoryyoke/tests/placement/test_lateness.py
@@ -5,20 +5,22 @@
 from savoryyoke.placement import lateness
 
 
-class CallerPatienceTests(unittest.TestCase):
+class SpentTimeEstimatorTests(unittest.TestCase):
     def setUp(self):
-        self.patience = lateness.CallerPatience()
+        self.estimator = lateness.SpentTimeEstimator()
 
     def test_first_request_of_a_route_has_spent_nothing(self):
-        self.assertEqual(0, self.patience.note('r', time_left_s=8.0))
+        self.assertEqual(0, self.estimator.record('r', time_left_s=8.0))
 
     def test_retrying_caller_has_spent_the_difference(self):
-        self.patience.note('r', time_left_s=8.0)
-        self.assertAlmostEqual(0.7, self.patience.note('r', time_left_s=7.3))
+        self.estimator.record('r', time_left_s=8.0)
+        self.assertAlmostEqual(
+            0.7, self.estimator.record('r', time_left_s=7.3)
+        )
 
     def test_routes_are_independent(self):
-        self.patience.note('r', time_left_s=8.0)
-        self.assertEqual(0, self.patience.note('s', time_left_s=1.5))
+        self.estimator.record('r', time_left_s=8.0)
+        self.assertEqual(0, self.estimator.record('s', time_left_s=1.5))
 
     def test_caller_that_states_no_time_has_spent_nothing(self):
-        self.assertEqual(0, self.patience.note('r', time_left_s=None))
+        self.assertEqual(0, self.estimator.record('r', time_left_s=None))
--- a/packages/savoryyoke/tests/placement/test_notices.py
+++ b/packages/savoryyoke/tests/placement/test_notices.py
@@ -42,7 +42,7 @@
     def test_leaving_target_gets_no_retries(self):
         self.leave(build_target(1))
         decided = self.apply(
-            events.RepeatAsked(
+            events.RetryRequested(
                 request_id='r',
                 tried_target_ids=frozenset({'t2'}),
                 time_left_s=3.0,
@@ -87,7 +87,7 @@
         hint = notices.LeavingTarget(
             target_id=f't{number}', incarnation=1, age_s=age_s
         )
-        self.apply(events.LeavingHinted(hints=(hint,)), now_s)
+        self.apply(events.LeavingHintsReceived(hints=(hint,)), now_s)
 
     def test_hinted_target_comes_last(self):
         self.hint(1)
--- a/packages/savoryyoke/tests/published/test_pacing.py
+++ b/packages/savoryyoke/tests/published/test_pacing.py
@@ -11,14 +11,16 @@
 
 def count_calls(entries):
     """Return the calls per second of a fleet under steady changes."""
-    pause_s = pacing.find_pause_s(entries=entries, is_settled=True)
+    pause_s = pacing.choose_read_pause_s(entry_count=entries, is_settled=True)
     return entries / (pause_s + 1 / CHANGES_PER_S)
 
 
 class PauseTests(unittest.TestCase):
     def test_small_fleets_read_each_change(self):
         for entries in (1, 8, conf.SMALL_FLEET_ENTRIES):
-            pause_s = pacing.find_pause_s(entries=entries, is_settled=True)
+            pause_s = pacing.choose_read_pause_s(
+                entry_count=entries, is_settled=True
+            )
             self.assertEqual(0.0, pause_s)
 
     def test_calls_grow_little_with_the_fleet(self):
@@ -27,13 +29,15 @@
 
     def test_pause_is_short_while_a_target_is_out_of_service(self):
         for entries in (8, 43, 350):
-            pause_s = pacing.find_pause_s(entries=entries, is_settled=False)
+            pause_s = pacing.choose_read_pause_s(
+                entry_count=entries, is_settled=False
+            )
             self.assertLessEqual(pause_s, conf.URGENT_PAUSE_MAX_S)
 
     def test_start_of_a_fleet_makes_few_calls(self):
         """Simulate 130 changes in five seconds at one of 43 entries."""
         changes_s = [number * 5 / 130 for number in range(130)]
-        pause_s = pacing.find_pause_s(entries=43, is_settled=False)
+        pause_s = pacing.choose_read_pause_s(entry_count=43, is_settled=False)
         calls, next_s = 0, 0.0
         for change_s in changes_s:
             if change_s >= next_s:
@@ -42,7 +46,7 @@
         self.assertLess(calls, 30)
 
     def test_pause_is_limited(self):
-        pause_s = pacing.find_pause_s(entries=5000, is_settled=True)
+        pause_s = pacing.choose_read_pause_s(entry_count=5000, is_settled=True)
         self.assertEqual(conf.PAUSE_MAX_S, pause_s)
 
 
@@ -54,16 +58,19 @@
         for _ in range(entries):
             now_s = 0.0
             while now_s < seconds:
-                now_s += pacing.find_wait_s(
-                    peers=entries - 1, draw=random_source.random
+                now_s += pacing.choose_long_poll_s(
+                    peer_count=entries - 1,
+                    random_fraction=random_source.random,
                 )
                 renewed_s.append(now_s)
         return sorted(renewed_s)
 
     def test_small_fleets_use_short_polls(self):
         for peers in (0, 1, 7):
-            wait_s = pacing.find_wait_s(peers=peers, draw=lambda: 1.0)
-            self.assertEqual(conf.WAIT_S, wait_s)
+            wait_s = pacing.choose_long_poll_s(
+                peer_count=peers, random_fraction=lambda: 1.0
+            )
+            self.assertEqual(conf.LONG_POLL_S, wait_s)
 
     def test_calls_without_changes_grow_little_with_the_fleet(self):
         for entries in (16, 44, 99):
@@ -82,8 +89,10 @@
                     # The polls are spread out only after the first one.
                     if before > conf.LONG_POLL_MAX_S
                 ]
-                self.assertLess(max(gaps_s), conf.WAIT_S)
+                self.assertLess(max(gaps_s), conf.LONG_POLL_S)
 
     def test_poll_duration_is_limited(self):
-        wait_s = pacing.find_wait_s(peers=5000, draw=lambda: 0.0)
+        wait_s = pacing.choose_long_poll_s(
+            peer_count=5000, random_fraction=lambda: 0.0
+        )
         self.assertEqual(conf.LONG_POLL_MAX_S, wait_s)
