--- a/packages/savoryyoke/savoryyoke/retries/conf.py
+++ b/packages/savoryyoke/savoryyoke/retries/conf.py
@@ -1,48 +1,52 @@
-"""Hold the defaults of the retries package."""
+"""Define the defaults of the retries package."""
 
 import dataclasses
 
 from savoryyoke.retries import exceptions
 
-# One-way travel time that a hop takes off, as its receiver cannot see it.
+# Allowance for the one-way network delay, which the receiver cannot measure.
 HOP_ALLOWANCE_S = 0.005
 SHORTEST_TRY_S = 0.01
 LATENCY_BUCKETS_PER_DOUBLING = 4
 SHORTEST_LATENCY_S = 0.001
 LATENCY_BUCKET_COUNT = 80
-LATENCY_WINDOW = 1000
+LATENCY_WINDOW_SAMPLES = 1000
 
-# A second try begins after the time that this share of the requests stay
-# under, so that second tries are as many as the others at most.
+# A second try starts after this quantile of the response times, which limits
+# second tries to about HEDGE_SHARE of the requests.
 HEDGE_QUANTILE = 0.95
 HEDGE_SHARE = 0.05
-# Each entry may send one at its start.
-HEDGE_BURST = 1.0
-# Part of the retry limit that is kept for tries that have failed.
+# Each entry can send one second try right after it starts.
+HEDGE_BURST_TRIES = 1.0
+# Share of the retry limit that is reserved for repeats of failed tries.
 HEDGE_KEPT_SHARE = 0.5
-# A request that takes this many times the delay of a hedge, and is overtaken
-# at other targets, is taken for lost: it may draw on the retry limit.
+# A request counts as lost once it has waited for this many hedge delays while
+# other targets answer later requests. Its second try may then exceed
+# HEDGE_SHARE and use the retry limit.
 HEDGE_LOST_TIMES = 3.0
-# Two round trips to a target in another data centre and a short run.
-HEDGE_SHORTEST_S = 0.03
-# The quantile of 20 times is their second largest; a window of 200 is some
-# ten seconds of an entry's requests of one service.
-HEDGE_LEAST_TIMES = 20
-HEDGE_WINDOW = 200
-HEDGE_TIME_ERROR = 0.05
-# Routes and sizes at one entry; a sketch takes 2 KB.
-HEDGE_KEYS_LIMIT = 1024
+# Two round trips to a target in another data centre plus a short run time.
+SHORTEST_HEDGE_DELAY_S = 0.03
+# The 0.95 quantile of 20 samples is the second largest. 200 samples are about
+# ten seconds of one entry's requests for one service.
+HEDGE_MIN_SAMPLES = 20
+HEDGE_WINDOW_SAMPLES = 200
+HEDGE_SKETCH_RELATIVE_ERROR = 0.05
+# Limit on combinations of route and body size at one entry; each sketch
+# takes 2 KB.
+HEDGE_MAX_KEYS = 1024
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RetryPolicy:
-    """Bound the repeated tries of one service.
+    """Configure the repeated tries of one service.
 
-    ``budget_share`` is repeated tries per first try, ``budget_per_s`` a
-    trickle for quiet services, ``budget_burst`` the most saved up and
-    ``most_tries`` the bound for each call. Idempotent calls that are
-    expected to be shorter than ``hedge_below_s`` are hedged after the
-    latency that ``hedge_quantile`` of the tries stay under.
+    ``budget_share`` is the number of repeated tries per first try,
+    ``budget_per_s`` the refill rate that lets a service with few calls
+    repeat tries too, ``budget_burst`` the capacity in tries, and
+    ``most_tries`` the limit on tries per call, the first one included.
+    An idempotent call is hedged after the ``hedge_quantile`` of recent
+    latencies, provided that this delay is below ``hedge_max_delay_s``
+    and there are at least ``hedge_min_samples`` latencies.
     """
 
     budget_share: float = 0.1
@@ -50,8 +54,8 @@
     budget_burst: float = 10.0
     most_tries: int = 3
     hedge_quantile: float = 0.95
-    hedge_below_s: float = 0.5
-    hedge_least_samples: int = 100
+    hedge_max_delay_s: float = 0.5
+    hedge_min_samples: int = 100
 
     def __post_init__(self):
         if not 0 <= self.budget_share <= 1:
--- a/packages/savoryyoke/savoryyoke/retries/deadlines.py
+++ b/packages/savoryyoke/savoryyoke/retries/deadlines.py
@@ -1,7 +1,8 @@
-"""Carry the time left for a call from hop to hop as a duration.
+"""Pass the remaining time of a call from hop to hop as a duration.
 
-No hop trusts another's clock: a receiver turns the duration into a time
-on its own monotonic clock, and a sender into a smaller duration.
+Durations avoid clock synchronisation: a receiver converts the duration into
+a time on its own monotonic clock, and subtracts the elapsed time and an
+allowance for the network before it sends the call on.
 """
 
 import dataclasses
@@ -11,30 +12,30 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Deadline:
-    """Hold when a call must be answered, on this process's clock."""
+    """Store when a call must be answered, in seconds of the local clock."""
 
     at_s: float
 
     @classmethod
     def start(cls, *, remaining_s, received_s):
-        """Return the deadline of a request that came in.
+        """Return the deadline of a received request.
 
-        ``received_s`` is when its first byte was read; a process that was
-        frozen afterwards finds the deadline passed.
+        ``received_s`` is when its first byte was read, so time during
+        which the process was suspended afterwards is counted as well.
         """
         return cls(at_s=received_s + remaining_s)
 
     def remaining_s(self, *, now_s):
-        """Return the time left, 0.0 once it has passed."""
+        """Return the remaining seconds, or 0.0 after the deadline."""
         return max(self.at_s - now_s, 0.0)
 
     def for_next_hop_s(self, *, now_s, allowance_s=conf.HOP_ALLOWANCE_S):
-        """Return the duration to send on.
+        """Return the remaining time in seconds to send to the next hop.
 
-        It leaves ``allowance_s`` each for the request and its answer.
+        Subtracts ``allowance_s`` for the request and again for its answer.
         """
         return max(self.remaining_s(now_s=now_s) - 2 * allowance_s, 0.0)
 
     def allows_try(self, *, now_s):
-        """Tell whether another try could still be answered in time."""
+        """Return whether another try can still be answered in time."""
         return self.for_next_hop_s(now_s=now_s) >= conf.SHORTEST_TRY_S
--- a/packages/savoryyoke/savoryyoke/retries/decisions.py
+++ b/packages/savoryyoke/savoryyoke/retries/decisions.py
@@ -6,9 +6,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TryAgain:
-    """Send the call to one more target, at once.
+    """Send the call to another target immediately.
 
-    ``remaining_s`` travels with it. A hedge runs beside the first try.
+    ``remaining_s`` is sent with the call. ``hedge`` is true if the first
+    try is still running.
     """
 
     call_id: str
@@ -18,7 +19,7 @@
 
 
 class GiveUpReason(enum.Enum):
-    """Name why a call is not tried again."""
+    """List the reasons for which a call is not tried again."""
 
     FINAL = 'final'
     MAY_HAVE_RUN = 'may_have_run'
@@ -30,10 +31,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GiveUp:
-    """Answer the caller now.
+    """Answer the caller with a failure.
 
-    ``not_run`` is true only if no try was handed to a back end. The
-    least ``retry_after_s`` that a target estimated is passed on.
+    ``not_run`` is true only if no back end received the call.
+    ``retry_after_s`` is the shortest estimate that a target gave, or 0.0.
     """
 
     call_id: str
--- a/packages/savoryyoke/savoryyoke/retries/events.py
+++ b/packages/savoryyoke/savoryyoke/retries/events.py
@@ -7,17 +7,17 @@
 
 
 class Failure(enum.Enum):
-    """Name what is known about a try that gave no answer."""
+    """Classify the tries that gave no usable answer."""
 
-    # The target process could not be reached: nothing was handed over.
+    # The target process could not be reached, so it did not receive the call.
     UNREACHABLE = 'unreachable'
-    # The target is leaving and handed the call back before running it.
+    # The target is draining and handed the call back before running it.
     DRAINING = 'draining'
-    # Admission refused the call before running it.
+    # Admission control refused the call before running it.
     OVERLOADED = 'overloaded'
-    # The connection was lost after the call was handed over.
+    # The connection was lost after the call had been sent.
     LOST = 'lost'
-    # The answer itself is a refusal that another target would repeat.
+    # The target refused the call, as any other target would.
     FINAL = 'final'
 
 
@@ -35,7 +35,7 @@
 class TryFailed:
     """Report that one try of a call failed.
 
-    ``retry_after_s`` is what the target estimated, if anything.
+    ``retry_after_s`` is the target's estimate, or 0.0 if it gave none.
     """
 
     call_id: str
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TrySent:
-    """Report which target a repeated try went to."""
+    """Report the target to which a repeated try was sent."""
 
     call_id: str
     target_id: str
@@ -54,14 +54,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TryNotSent:
-    """Report that there is no target for a repeated try."""
+    """Report that no target was available for a repeated try."""
 
     call_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TryAnswered:
-    """Report that a try gave the call's answer."""
+    """Report that a try returned the answer to the call."""
 
     call_id: str
     target_id: str
@@ -70,11 +70,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallerLeft:
-    """Report that nobody waits for the call any more."""
+    """Report that the caller no longer waits for the call."""
 
     call_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Report that time has passed."""
+    """Trigger the hedges that are due."""
--- a/packages/savoryyoke/savoryyoke/retries/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/retries/exceptions.py
@@ -10,8 +10,8 @@
 
 
 class DuplicateCall(RetriesError):
-    """Report a first try under the id of a call that is still open."""
+    """Report a first try whose call id belongs to an open call."""
 
 
 class InvalidPolicy(RetriesError):
-    """Report a policy that bounds nothing or allows nothing."""
+    """Report a policy with a value outside its valid range."""
--- a/packages/savoryyoke/savoryyoke/retries/hedging.py
+++ b/packages/savoryyoke/savoryyoke/retries/hedging.py
@@ -1,4 +1,4 @@
-"""Decide when a second try beside a slow one pays."""
+"""Decide when to start a second try while the first is still running."""
 
 import collections
 import dataclasses
@@ -11,9 +11,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HedgeKey:
-    """Name the requests whose answers should take alike.
+    """Identify requests that are expected to take similarly long.
 
-    ``size_class`` is the binary order of magnitude of the body.
+    ``size_class`` is the bit length of the body size in bytes.
     """
 
     service_name: str
@@ -22,113 +22,131 @@
 
 
 class _RecentTimes:
-    """Hold the times of the last one or two windows of answers."""
+    """Store the response times of the last one or two sample windows."""
 
     def __init__(self):
-        self._current = ddsketch.DDSketch(conf.HEDGE_TIME_ERROR)
+        self._current = ddsketch.DDSketch(conf.HEDGE_SKETCH_RELATIVE_ERROR)
         self._previous = None
 
-    def note(self, took_s):
-        self._current.add(took_s)
-        if self._current.count >= conf.HEDGE_WINDOW:
+    def add(self, duration_s):
+        self._current.add(duration_s)
+        if self._current.count >= conf.HEDGE_WINDOW_SAMPLES:
             self._previous = self._current
-            self._current = ddsketch.DDSketch(conf.HEDGE_TIME_ERROR)
+            self._current = ddsketch.DDSketch(conf.HEDGE_SKETCH_RELATIVE_ERROR)
 
     def quantile_s(self):
-        """Return the quantile that hedges wait for; None with few times."""
+        """Return the hedge delay in seconds; None with too few samples."""
         for sketch in (self._current, self._previous):
-            if sketch and sketch.count >= conf.HEDGE_LEAST_TIMES:
+            if sketch and sketch.count >= conf.HEDGE_MIN_SAMPLES:
                 return sketch.get_quantile_value(conf.HEDGE_QUANTILE)
         return None
 
 
 class HedgeTiming:
-    """Own what is known of the times to a whole answer at one entry.
+    """Track the times to a complete answer at one entry.
 
-    Answers two loads. Where single targets or requests are slow, a second
-    try begins once a request takes longer than ``HEDGE_QUANTILE`` of those
-    like it. Where all targets are slow alike, requests wait at all of them
-    and none is overtaken, so that none is taken for lost.
+    If single targets or requests are slow, a second try starts once a
+    request takes longer than the ``HEDGE_QUANTILE`` of similar requests.
+    If all targets are equally slow, later requests are not answered
+    earlier at other targets, so no request counts as lost.
     """
 
     def __init__(self):
         self._times_by_key = collections.OrderedDict()
-        self._answered_s_by_target_by_service = collections.defaultdict(dict)
-        self._open_by_number_by_service = collections.defaultdict(dict)
+        self._latest_sent_s_by_target_by_service = collections.defaultdict(
+            dict
+        )
+        self._running_by_number_by_service = collections.defaultdict(dict)
         self._numbers = itertools.count(1)
 
     def note_begun(self, key, target_id, *, sent_s):
-        """Take in a request that is under way; return its number."""
+        """Record that a request was sent; return its number."""
         number = next(self._numbers)
-        opened = self._open_by_number_by_service[key.service_name]
-        opened[number] = (target_id, sent_s)
+        running_by_number = self._running_by_number_by_service[
+            key.service_name
+        ]
+        running_by_number[number] = (target_id, sent_s)
         return number
 
     def note_ended(self, key, number):
-        """Take in the end of a request, whatever it was."""
-        del self._open_by_number_by_service[key.service_name][number]
+        """Record that a request ended, with or without an answer."""
+        del self._running_by_number_by_service[key.service_name][number]
 
     def note(self, key, target_id, *, sent_s, took_s):
-        """Take in a whole answer to a request that was sent at ``sent_s``."""
-        for known in (key, key.service_name):
-            times = self._times_by_key.setdefault(known, _RecentTimes())
-            self._times_by_key.move_to_end(known)
-            times.note(took_s)
-        while len(self._times_by_key) > conf.HEDGE_KEYS_LIMIT:
+        """Record a complete answer to a request sent at ``sent_s``."""
+        for times_key in (key, key.service_name):
+            times = self._times_by_key.setdefault(times_key, _RecentTimes())
+            self._times_by_key.move_to_end(times_key)
+            times.add(took_s)
+        while len(self._times_by_key) > conf.HEDGE_MAX_KEYS:
             self._times_by_key.popitem(last=False)
-        answered_s = self._answered_s_by_target_by_service[key.service_name]
-        answered_s[target_id] = max(answered_s.get(target_id, sent_s), sent_s)
-        if len(answered_s) > conf.HEDGE_KEYS_LIMIT:
-            del answered_s[min(answered_s, key=answered_s.get)]
+        latest_sent_s_by_target = self._latest_sent_s_by_target_by_service[
+            key.service_name
+        ]
+        latest_sent_s_by_target[target_id] = max(
+            latest_sent_s_by_target.get(target_id, sent_s), sent_s
+        )
+        if len(latest_sent_s_by_target) > conf.HEDGE_MAX_KEYS:
+            del latest_sent_s_by_target[
+                min(latest_sent_s_by_target, key=latest_sent_s_by_target.get)
+            ]
 
     def delay_s(self, key, *, objective_s):
-        """Return how long a request goes without a second try.
+        """Return the seconds to wait before a second try starts.
 
-        ``objective_s`` stands in while few answers are known.
+        ``objective_s`` is used while there are too few samples.
         """
-        for known in (key, key.service_name):
-            times = self._times_by_key.get(known)
+        for times_key in (key, key.service_name):
+            times = self._times_by_key.get(times_key)
             delay_s = times.quantile_s() if times else None
             if delay_s is not None:
-                return max(delay_s, conf.HEDGE_SHORTEST_S)
-        return max(objective_s, conf.HEDGE_SHORTEST_S)
+                return max(delay_s, conf.SHORTEST_HEDGE_DELAY_S)
+        return max(objective_s, conf.SHORTEST_HEDGE_DELAY_S)
 
     def seems_lost(self, key, target_id, *, sent_s, delay_s, now_s):
-        """Return whether a target is slow while others are not.
+        """Return whether a request is delayed at its target only.
 
-        Others answer what was sent later, or nothing waits there for long.
+        That is so if another target has answered a request that was sent
+        at least ``delay_s`` later, or if no request has been waiting for
+        ``delay_s`` or longer at the other targets.
         """
-        answered_s = self._answered_s_by_target_by_service[key.service_name]
+        latest_sent_s_by_target = self._latest_sent_s_by_target_by_service[
+            key.service_name
+        ]
         if any(
-            answered_s[known] >= sent_s + delay_s
-            for known in answered_s
-            if known != target_id
+            latest_sent_s_by_target[other_target_id] >= sent_s + delay_s
+            for other_target_id in latest_sent_s_by_target
+            if other_target_id != target_id
         ):
             return True
-        opened = self._open_by_number_by_service[key.service_name]
+        running_by_number = self._running_by_number_by_service[
+            key.service_name
+        ]
         return not any(
-            known != target_id and now_s - begun_s >= delay_s
-            for known, begun_s in opened.values()
+            other_target_id != target_id and now_s - other_sent_s >= delay_s
+            for other_target_id, other_sent_s in running_by_number.values()
         )
 
 
 class HedgeAllowance:
-    """Bound second tries as a share of a service's requests."""
+    """Limit second tries to a share of a service's requests."""
 
     def __init__(self):
-        self._tokens = conf.HEDGE_BURST
+        self._tokens = conf.HEDGE_BURST_TRIES
 
     def deposit(self):
-        """Count a request."""
-        self._tokens = min(self._tokens + conf.HEDGE_SHARE, conf.HEDGE_BURST)
+        """Add the share of a second try that one request earns."""
+        self._tokens = min(
+            self._tokens + conf.HEDGE_SHARE, conf.HEDGE_BURST_TRIES
+        )
 
     @property
     def covers_one(self):
-        """Return whether a second try is left."""
+        """Return whether a second try is allowed now."""
         return self._tokens >= 1
 
     def withdraw(self):
-        """Take one second try; return whether there was one left."""
+        """Use up one second try; return False if none is allowed."""
         if not self.covers_one:
             return False
         self._tokens -= 1
--- a/packages/savoryyoke/savoryyoke/retries/latencies.py
+++ b/packages/savoryyoke/savoryyoke/retries/latencies.py
@@ -7,9 +7,11 @@
 
 
 class LatencyQuantiles:
-    """Count latencies in buckets of equal ratio; old ones fade.
+    """Count latencies in a logarithmic histogram.
 
-    An estimate exceeds the true quantile by at most one bucket's ratio.
+    All counts are halved from time to time, so that recent latencies weigh
+    more. An estimate exceeds the true quantile by at most the ratio of two
+    neighbouring bucket bounds.
     """
 
     def __init__(self):
@@ -17,18 +19,20 @@
         self.samples = 0
 
     def observe(self, *, latency_s):
-        """Take in one latency in seconds."""
+        """Add one latency in seconds."""
         self._counts[self._index(latency_s)] += 1
         self.samples += 1
-        if self.samples >= 2 * conf.LATENCY_WINDOW:
+        if self.samples >= 2 * conf.LATENCY_WINDOW_SAMPLES:
             self._counts = [count // 2 for count in self._counts]
             self.samples = sum(self._counts)
 
     def quantile_s(self, share):
-        """Return the latency that a share of the samples stay under."""
-        wanted = share * self.samples
-        for index, below in enumerate(itertools.accumulate(self._counts)):
-            if below >= wanted:
+        """Return the quantile in seconds; ``share`` is from 0.0 to 1.0."""
+        target_count = share * self.samples
+        for index, cumulative_count in enumerate(
+            itertools.accumulate(self._counts)
+        ):
+            if cumulative_count >= target_count:
                 break
         doublings = (index + 1) / conf.LATENCY_BUCKETS_PER_DOUBLING
         return conf.SHORTEST_LATENCY_S * 2**doublings
--- a/packages/savoryyoke/tests/retries/test_hedging.py
+++ b/packages/savoryyoke/tests/retries/test_hedging.py
@@ -1,4 +1,4 @@
-"""Test when a second try begins beside a slow one."""
+"""Test when a second try starts while the first is still running."""
 
 import unittest
 
@@ -22,39 +22,39 @@
 
 
 class DelayTests(TimingCase):
-    def test_objective_stands_in_while_few_answers_are_known(self):
-        self.note(0.05, times=conf.HEDGE_LEAST_TIMES - 1)
+    def test_objective_is_used_with_few_samples(self):
+        self.note(0.05, times=conf.HEDGE_MIN_SAMPLES - 1)
         self.assertEqual(OBJECTIVE_S, self.delay_s())
 
-    def test_two_speeds_on_one_route(self):
+    def test_slow_tenth_of_requests_sets_the_delay(self):
         self.note(0.05, times=90)
         self.note(0.4, times=10)
         self.assertAlmostEqual(0.4, self.delay_s(), delta=0.03)
 
-    def test_rare_slow_answers_do_not_count(self):
+    def test_rare_slow_answers_do_not_raise_the_delay(self):
         self.note(0.05, times=98)
         self.note(3.0, times=2)
         self.assertAlmostEqual(0.05, self.delay_s(), delta=0.005)
 
-    def test_sizes_and_routes_differ(self):
-        large = hedging.HedgeKey(
+    def test_body_sizes_have_separate_delays(self):
+        large_body_key = hedging.HedgeKey(
             service_name='s', route_name='r', size_class=12
         )
         self.note(0.05, times=50)
-        self.note(0.8, key=large, times=50)
+        self.note(0.8, key=large_body_key, times=50)
         self.assertAlmostEqual(0.05, self.delay_s(), delta=0.005)
-        self.assertAlmostEqual(0.8, self.delay_s(large), delta=0.05)
+        self.assertAlmostEqual(0.8, self.delay_s(large_body_key), delta=0.05)
 
-    def test_new_route_goes_by_its_service(self):
-        other = hedging.HedgeKey(
+    def test_new_route_uses_the_times_of_its_service(self):
+        new_route_key = hedging.HedgeKey(
             service_name='s', route_name='new', size_class=7
         )
         self.note(0.05, times=50)
-        self.assertAlmostEqual(0.05, self.delay_s(other), delta=0.005)
+        self.assertAlmostEqual(0.05, self.delay_s(new_route_key), delta=0.005)
 
-    def test_follows_a_change_within_two_windows(self):
-        self.note(0.05, times=conf.HEDGE_WINDOW)
-        self.note(0.5, times=conf.HEDGE_WINDOW)
+    def test_delay_follows_a_change_within_two_windows(self):
+        self.note(0.05, times=conf.HEDGE_WINDOW_SAMPLES)
+        self.note(0.5, times=conf.HEDGE_WINDOW_SAMPLES)
         self.assertAlmostEqual(0.5, self.delay_s(), delta=0.03)
 
 
@@ -64,34 +64,34 @@
             KEY, 't1', sent_s=0.0, delay_s=0.1, now_s=now_s
         )
 
-    def test_others_answer_what_was_sent_later(self):
+    def test_lost_if_another_target_answers_a_later_request(self):
         self.timing.note_begun(KEY, 't2', sent_s=0.0)
         self.assertFalse(self.seems_lost(now_s=0.3))
         self.note(0.05, target_id='t2', sent_s=0.2)
         self.assertTrue(self.seems_lost(now_s=0.3))
 
-    def test_answers_of_the_same_target_prove_nothing(self):
+    def test_answers_of_the_same_target_do_not_count(self):
         self.timing.note_begun(KEY, 't2', sent_s=0.0)
         self.note(0.05, target_id='t1', sent_s=0.2)
         self.assertFalse(self.seems_lost(now_s=0.3))
 
-    def test_all_targets_slow_alike(self):
+    def test_not_lost_if_all_targets_are_slow(self):
         for number in range(4):
             self.timing.note_begun(KEY, f't{number}', sent_s=0.0)
         self.assertFalse(self.seems_lost(now_s=9.0))
 
-    def test_nothing_else_is_under_way(self):
+    def test_lost_if_no_other_request_is_running(self):
         number = self.timing.note_begun(KEY, 't2', sent_s=0.0)
         self.timing.note_ended(KEY, number)
         self.assertTrue(self.seems_lost(now_s=0.3))
 
 
 class AllowanceTests(unittest.TestCase):
-    def test_share_of_all_requests(self):
+    def test_second_tries_are_a_share_of_all_requests(self):
         allowance = hedging.HedgeAllowance()
-        taken = 0
+        second_tries = 0
         for _ in range(1000):
             allowance.deposit()
-            taken += allowance.withdraw()
-        self.assertLessEqual(taken, 1000 * conf.HEDGE_SHARE + 1)
-        self.assertGreater(taken, 1000 * conf.HEDGE_SHARE - 2)
+            second_tries += allowance.withdraw()
+        self.assertLessEqual(second_tries, 1000 * conf.HEDGE_SHARE + 1)
+        self.assertGreater(second_tries, 1000 * conf.HEDGE_SHARE - 2)
