--- a/packages/savoryyoke-entry/savoryyoke_entry/fleet.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/fleet.py
@@ -39,7 +39,7 @@
         self._retries = retry_aggregates.ServiceRetries(
             policy=retry_conf.RetryPolicy(
                 budget_share=policy.budget_ratio,
-                most_tries=policy.max_attempts,
+                max_tries=policy.max_attempts,
             ),
             now_s=self._clock(),
         )
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/hedging.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/hedging.py
@@ -58,7 +58,7 @@
             return await self._tries.run(call, placed, resume_after)
         key = _build_key(call)
         began_s = self._clock()
-        number = self._timing.note_begun(
+        number = self._timing.record_sent(
             key, placed.target.target_id, sent_s=began_s
         )
         try:
@@ -66,15 +66,15 @@
                 call, placed, resume_after, began_s
             )
         finally:
-            self._timing.note_ended(key, number)
+            self._timing.record_end(key, number)
         if isinstance(decision, decisions.Deliver) and (
             not call.answer.is_failure
         ):
-            self._timing.note(
+            self._timing.record_answer(
                 key,
                 target.target_id,
                 sent_s=began_s,
-                took_s=self._clock() - began_s,
+                response_time_s=self._clock() - began_s,
             )
         return decision
 
@@ -110,7 +110,7 @@
             if not call.ledger.may_hedge:
                 continue
             is_lost = (
-                check >= retries_conf.HEDGE_LOST_TIMES
+                check >= retries_conf.LOST_AFTER_HEDGE_DELAYS
                 and self._timing.seems_lost(
                     key,
                     target.target_id,
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/retrying.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/retrying.py
@@ -34,7 +34,7 @@
             return
         self._entries = entries
         for budget in self._budgets_by_service.values():
-            budget.limit_burst(self._burst())
+            budget.lower_capacity(self._burst())
 
     def note_request(self, service_name):
         """Count a request that goes to its first target."""
@@ -47,7 +47,7 @@
 
     def covers_one(self, service_name):
         """Return whether a repeated try is left."""
-        return self._find(service_name).covers_one
+        return self._find(service_name).has_token
 
     def covers_hedge(self, service_name, *, is_lost):
         """Return whether a second try is left.
@@ -56,9 +56,9 @@
         it may draw on all that failed tries leave over.
         """
         left_share = self._find(service_name).share_after_withdrawal
-        if left_share < retries_conf.HEDGE_KEPT_SHARE:
+        if left_share < retries_conf.FAILED_TRY_RESERVE_SHARE:
             return False
-        return is_lost or self._hedges_by_service[service_name].covers_one
+        return is_lost or self._hedges_by_service[service_name].has_token
 
     def take_hedge(self, service_name, *, is_lost):
         """Take one second try; return whether there was one left."""
--- a/packages/savoryyoke/savoryyoke/retries/aggregates.py
+++ b/packages/savoryyoke/savoryyoke/retries/aggregates.py
@@ -181,7 +181,7 @@
             return _Reason.FINAL
         if not call.idempotent and not call.not_run:
             return _Reason.MAY_HAVE_RUN
-        if call.tries >= self._policy.most_tries:
+        if call.tries >= self._policy.max_tries:
             return _Reason.TRIES_SPENT
         if not call.deadline.allows_try(now_s=now_s):
             return _Reason.DEADLINE
@@ -204,7 +204,7 @@
 
     def _hedge_delay_s(self, idempotent):
         policy = self._policy
-        if not idempotent or policy.most_tries < 2:
+        if not idempotent or policy.max_tries < 2:
             return None
         if self._latencies.samples < policy.hedge_min_samples:
             return None
--- a/packages/savoryyoke/savoryyoke/retries/budgets.py
+++ b/packages/savoryyoke/savoryyoke/retries/budgets.py
@@ -21,7 +21,7 @@
         return self._tokens / self._capacity
 
     @property
-    def covers_one(self):
+    def has_token(self):
         """Return whether the budget has a token for a repeated try."""
         return self._tokens >= 1
 
@@ -30,7 +30,7 @@
         """Return the filled share after one more withdrawal, 0.0 to 1.0."""
         return max(self._tokens - 1, 0.0) / self._capacity
 
-    def limit_burst(self, burst):
+    def lower_capacity(self, burst):
         """Lower the capacity; used when more entries share the limit."""
         self._capacity = min(self._capacity, burst)
         self._tokens = min(self._tokens, self._capacity)
--- a/packages/savoryyoke/savoryyoke/retries/conf.py
+++ b/packages/savoryyoke/savoryyoke/retries/conf.py
@@ -19,11 +19,11 @@
 # Each entry can send one second try right after it starts.
 HEDGE_BURST_TRIES = 1.0
 # Share of the retry limit that is reserved for repeats of failed tries.
-HEDGE_KEPT_SHARE = 0.5
+FAILED_TRY_RESERVE_SHARE = 0.5
 # A request counts as lost once it has waited for this many hedge delays while
 # other targets answer later requests. Its second try may then exceed
 # HEDGE_SHARE and use the retry limit.
-HEDGE_LOST_TIMES = 3.0
+LOST_AFTER_HEDGE_DELAYS = 3.0
 # Two round trips to a target in another data centre plus a short run time.
 SHORTEST_HEDGE_DELAY_S = 0.03
 # The 0.95 quantile of 20 samples is the second largest. 200 samples are about
@@ -43,7 +43,7 @@
     ``budget_share`` is the number of repeated tries per first try,
     ``budget_per_s`` the refill rate that lets a service with few calls
     repeat tries too, ``budget_burst`` the capacity in tries, and
-    ``most_tries`` the limit on tries per call, the first one included.
+    ``max_tries`` the limit on tries per call, the first one included.
     An idempotent call is hedged after the ``hedge_quantile`` of recent
     latencies, provided that this delay is below ``hedge_max_delay_s``
     and there are at least ``hedge_min_samples`` latencies.
@@ -52,7 +52,7 @@
     budget_share: float = 0.1
     budget_per_s: float = 0.1
     budget_burst: float = 10.0
-    most_tries: int = 3
+    max_tries: int = 3
     hedge_quantile: float = 0.95
     hedge_max_delay_s: float = 0.5
     hedge_min_samples: int = 100
@@ -60,7 +60,7 @@
     def __post_init__(self):
         if not 0 <= self.budget_share <= 1:
             raise exceptions.InvalidPolicy('budget_share must be in 0..1')
-        if self.most_tries < 1:
-            raise exceptions.InvalidPolicy('most_tries must be at least 1')
+        if self.max_tries < 1:
+            raise exceptions.InvalidPolicy('max_tries must be at least 1')
         if not 0 < self.hedge_quantile < 1:
             raise exceptions.InvalidPolicy('hedge_quantile must be in 0..1')
--- a/packages/savoryyoke/savoryyoke/retries/hedging.py
+++ b/packages/savoryyoke/savoryyoke/retries/hedging.py
@@ -59,7 +59,7 @@
         self._running_by_number_by_service = collections.defaultdict(dict)
         self._numbers = itertools.count(1)
 
-    def note_begun(self, key, target_id, *, sent_s):
+    def record_sent(self, key, target_id, *, sent_s):
         """Record that a request was sent; return its number."""
         number = next(self._numbers)
         running_by_number = self._running_by_number_by_service[
@@ -68,16 +68,16 @@
         running_by_number[number] = (target_id, sent_s)
         return number
 
-    def note_ended(self, key, number):
+    def record_end(self, key, number):
         """Record that a request ended, with or without an answer."""
         del self._running_by_number_by_service[key.service_name][number]
 
-    def note(self, key, target_id, *, sent_s, took_s):
+    def record_answer(self, key, target_id, *, sent_s, response_time_s):
         """Record a complete answer to a request sent at ``sent_s``."""
         for times_key in (key, key.service_name):
             times = self._times_by_key.setdefault(times_key, _RecentTimes())
             self._times_by_key.move_to_end(times_key)
-            times.add(took_s)
+            times.add(response_time_s)
         while len(self._times_by_key) > conf.HEDGE_MAX_KEYS:
             self._times_by_key.popitem(last=False)
         latest_sent_s_by_target = self._latest_sent_s_by_target_by_service[
@@ -141,13 +141,13 @@
         )
 
     @property
-    def covers_one(self):
+    def has_token(self):
         """Return whether a second try is allowed now."""
         return self._tokens >= 1
 
     def withdraw(self):
         """Use up one second try; return False if none is allowed."""
-        if not self.covers_one:
+        if not self.has_token:
             return False
         self._tokens -= 1
         return True
--- a/packages/savoryyoke/tests/retries/test_hedging.py
+++ b/packages/savoryyoke/tests/retries/test_hedging.py
@@ -13,9 +13,13 @@
     def setUp(self):
         self.timing = hedging.HedgeTiming()
 
-    def note(self, took_s, *, key=KEY, target_id='t1', sent_s=0.0, times=1):
+    def record_answers(
+        self, response_time_s, *, key=KEY, target_id='t1', sent_s=0.0, times=1
+    ):
         for _ in range(times):
-            self.timing.note(key, target_id, sent_s=sent_s, took_s=took_s)
+            self.timing.record_answer(
+                key, target_id, sent_s=sent_s, response_time_s=response_time_s
+            )
 
     def delay_s(self, key=KEY):
         return self.timing.delay_s(key, objective_s=OBJECTIVE_S)
@@ -23,25 +27,25 @@
 
 class DelayTests(TimingCase):
     def test_objective_is_used_with_few_samples(self):
-        self.note(0.05, times=conf.HEDGE_MIN_SAMPLES - 1)
+        self.record_answers(0.05, times=conf.HEDGE_MIN_SAMPLES - 1)
         self.assertEqual(OBJECTIVE_S, self.delay_s())
 
     def test_slow_tenth_of_requests_sets_the_delay(self):
-        self.note(0.05, times=90)
-        self.note(0.4, times=10)
+        self.record_answers(0.05, times=90)
+        self.record_answers(0.4, times=10)
         self.assertAlmostEqual(0.4, self.delay_s(), delta=0.03)
 
     def test_rare_slow_answers_do_not_raise_the_delay(self):
-        self.note(0.05, times=98)
-        self.note(3.0, times=2)
+        self.record_answers(0.05, times=98)
+        self.record_answers(3.0, times=2)
         self.assertAlmostEqual(0.05, self.delay_s(), delta=0.005)
 
     def test_body_sizes_have_separate_delays(self):
         large_body_key = hedging.HedgeKey(
             service_name='s', route_name='r', size_class=12
         )
-        self.note(0.05, times=50)
-        self.note(0.8, key=large_body_key, times=50)
+        self.record_answers(0.05, times=50)
+        self.record_answers(0.8, key=large_body_key, times=50)
         self.assertAlmostEqual(0.05, self.delay_s(), delta=0.005)
         self.assertAlmostEqual(0.8, self.delay_s(large_body_key), delta=0.05)
 
@@ -49,12 +53,12 @@
         new_route_key = hedging.HedgeKey(
             service_name='s', route_name='new', size_class=7
         )
-        self.note(0.05, times=50)
+        self.record_answers(0.05, times=50)
         self.assertAlmostEqual(0.05, self.delay_s(new_route_key), delta=0.005)
 
     def test_delay_follows_a_change_within_two_windows(self):
-        self.note(0.05, times=conf.HEDGE_WINDOW_SAMPLES)
-        self.note(0.5, times=conf.HEDGE_WINDOW_SAMPLES)
+        self.record_answers(0.05, times=conf.HEDGE_WINDOW_SAMPLES)
+        self.record_answers(0.5, times=conf.HEDGE_WINDOW_SAMPLES)
         self.assertAlmostEqual(0.5, self.delay_s(), delta=0.03)
 
 
@@ -65,24 +69,24 @@
         )
 
     def test_lost_if_another_target_answers_a_later_request(self):
-        self.timing.note_begun(KEY, 't2', sent_s=0.0)
+        self.timing.record_sent(KEY, 't2', sent_s=0.0)
         self.assertFalse(self.seems_lost(now_s=0.3))
-        self.note(0.05, target_id='t2', sent_s=0.2)
+        self.record_answers(0.05, target_id='t2', sent_s=0.2)
         self.assertTrue(self.seems_lost(now_s=0.3))
 
     def test_answers_of_the_same_target_do_not_count(self):
-        self.timing.note_begun(KEY, 't2', sent_s=0.0)
-        self.note(0.05, target_id='t1', sent_s=0.2)
+        self.timing.record_sent(KEY, 't2', sent_s=0.0)
+        self.record_answers(0.05, target_id='t1', sent_s=0.2)
         self.assertFalse(self.seems_lost(now_s=0.3))
 
     def test_not_lost_if_all_targets_are_slow(self):
         for number in range(4):
-            self.timing.note_begun(KEY, f't{number}', sent_s=0.0)
+            self.timing.record_sent(KEY, f't{number}', sent_s=0.0)
         self.assertFalse(self.seems_lost(now_s=9.0))
 
     def test_lost_if_no_other_request_is_running(self):
-        number = self.timing.note_begun(KEY, 't2', sent_s=0.0)
-        self.timing.note_ended(KEY, number)
+        number = self.timing.record_sent(KEY, 't2', sent_s=0.0)
+        self.timing.record_end(KEY, number)
         self.assertTrue(self.seems_lost(now_s=0.3))
 
 
--- a/packages/savoryyoke/tests/retries/test_retries.py
+++ b/packages/savoryyoke/tests/retries/test_retries.py
@@ -140,7 +140,7 @@
             now_s = number / self._CALLS_PER_S
             call_id = f'c-{number}'
             service.apply(_build_first_try(call_id), now_s=now_s)
-            for attempt in range(_POLICY.most_tries):
+            for attempt in range(_POLICY.max_tries):
                 runs += 1
                 lost = events.TryFailed(
                     call_id=call_id,
