--- a/packages/savoryyoke/savoryyoke/limits/__init__.py
+++ b/packages/savoryyoke/savoryyoke/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Hold teams' rate limits over all entries together."""
+"""Enforce the rate limits of teams over all entries together."""
--- a/packages/savoryyoke/savoryyoke/limits/conf.py
+++ b/packages/savoryyoke/savoryyoke/limits/conf.py
@@ -1,31 +1,34 @@
-"""Hold the defaults of the limits package."""
+"""Define the defaults of the limits package."""
 
 import dataclasses
 import enum
 
 from savoryyoke.limits import exceptions
 
-# Each home entry of a team is meant to carry this much of it.
+# The number of home entries of a team is chosen so that each gets about this
+# much of the limit.
 REQUESTS_PER_S_PER_HOME = 20.0
 TOKENS_PER_S_PER_HOME = 10000.0
-LEAST_HOMES = 2
-MOST_HOMES = 16
+MIN_HOMES = 2
+MAX_HOMES = 16
 BURST_S = 1.0
-LOAN_S = 5.0
-# A lender's clock may run faster than a borrower's by this share.
+LOAN_DURATION_S = 5.0
+# Upper bound on how much faster a lender's clock may run than a borrower's.
 CLOCK_DRIFT_SHARE = 0.01
-# A displaced home goes on until callers have asked again; its successor
-# starts when the laggard view of the list of VMs has seen it go.
-KEEP_AFTER_DISPLACED_S = 10.0
-WAIT_BEFORE_HOME_S = 30.0
-# Spare rate kept back by a lender, as a share of its own part.
-RESERVE_SHARE = 0.1
+# A former home entry admits calls until callers have fetched the new list. A
+# new one starts only after even the most outdated copy of the list of VMs
+# shows the change, so that the two do not overlap.
+FORMER_HOME_ADMITS_S = 10.0
+NEW_HOME_DELAY_S = 30.0
+# Rate that a lender keeps for itself beyond its demand, as a share of its base
+# rate.
+LENDER_RESERVE_SHARE = 0.1
 DEMAND_SMOOTHING_S = 2.0
-ROWS_PER_HEARTBEAT = 50
+MAX_ROWS_PER_HEARTBEAT = 50
 
 
 class Resource(enum.Enum):
-    """Name what a limit counts."""
+    """List what a limit can count."""
 
     REQUESTS = 'requests'
     TOKENS = 'tokens'
@@ -33,29 +36,29 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TeamLimit:
-    """Bound one team over all entries; None leaves a rate unbounded."""
+    """Limit one team over all entries; None means no limit."""
 
     requests_per_s: float | None = None
     tokens_per_s: float | None = None
     max_concurrency: int | None = None
 
     def __post_init__(self):
-        bounds = (
+        limits = (
             self.requests_per_s,
             self.tokens_per_s,
             self.max_concurrency,
         )
-        if any(bound is not None and bound <= 0 for bound in bounds):
+        if any(limit is not None and limit <= 0 for limit in limits):
             raise exceptions.InvalidTeamLimit('limits must be positive')
 
     @property
     def bounded(self):
-        """Tell whether anything is bounded."""
+        """Return whether any limit is set."""
         return self != TeamLimit()
 
     @property
     def rate_by_resource(self):
-        """Return the bounded rates per second."""
+        """Return the limited rates per second."""
         rates = {
             Resource.REQUESTS: self.requests_per_s,
             Resource.TOKENS: self.tokens_per_s,
--- a/packages/savoryyoke/savoryyoke/limits/decisions.py
+++ b/packages/savoryyoke/savoryyoke/limits/decisions.py
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AskRow:
-    """Ask to borrow a rate of one limit; ``number`` is echoed."""
+    """Request a loan; the grant repeats ``number`` to identify it."""
 
     team: str
     resource: conf.Resource
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GrantRow:
-    """Lend a rate for LOAN_S from the moment that the ask was sent."""
+    """Grant a loan for LOAN_DURATION_S from when the request was sent."""
 
     team: str
     resource: conf.Resource
@@ -28,13 +28,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Admit:
-    """Let the call pass."""
+    """Admit the call."""
 
     call_id: str
 
 
 class LimitReason(enum.Enum):
-    """Name which limit refused a call."""
+    """List the reasons for which the limits refuse a call."""
 
     REQUEST_RATE = 'request_rate'
     TOKEN_RATE = 'token_rate'
@@ -46,7 +46,7 @@
 class RefuseByLimit:
     """Refuse a call that did not run.
 
-    ``entry_ids`` are the entries that admit the team's calls, best first.
+    ``entry_ids`` are the team's home entries in order of preference.
     """
 
     call_id: str
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SendAsk:
-    """Carry rows to an entry on the next heartbeat."""
+    """Send loan requests to another entry."""
 
     entry_id: str
     rows: tuple[AskRow, ...]
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SendGrant:
-    """Answer an ask."""
+    """Send the granted loans to the entry that requested them."""
 
     entry_id: str
     rows: tuple[GrantRow, ...]
--- a/packages/savoryyoke/savoryyoke/limits/events.py
+++ b/packages/savoryyoke/savoryyoke/limits/events.py
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LimitsPublished:
-    """Report the limits of all teams from the configuration."""
+    """Report the limits of all teams from a new configuration."""
 
     limits_by_team: dict[str, conf.TeamLimit]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallArrived:
-    """Report a call of a team that expects to use ``tokens`` tokens."""
+    """Report a call and the number of tokens it is expected to use."""
 
     call_id: str
     team: str
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallEnded:
-    """Report the end of an admitted call and the tokens it used."""
+    """Report the end of an admitted call and its tokens, None if unknown."""
 
     call_id: str
     tokens: float | None = None
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AskReceived:
-    """Report what another entry would like to borrow."""
+    """Report the loan requests of another entry."""
 
     entry_id: str
     rows: tuple[decisions.AskRow, ...]
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GrantReceived:
-    """Report what another entry lends."""
+    """Report the loans that another entry grants."""
 
     entry_id: str
     rows: tuple[decisions.GrantRow, ...]
--- a/packages/savoryyoke/savoryyoke/limits/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/limits/exceptions.py
@@ -10,4 +10,4 @@
 
 
 class InvalidTeamLimit(LimitsError):
-    """Report a limit that no entry could enforce."""
+    """Report a limit that is zero or negative."""
