--- a/packages/savoryyoke-entry/savoryyoke_entry/team_limits.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/team_limits.py
@@ -55,8 +55,8 @@
 
     def may_serve(self, entry_id, *, team):
         """Tell whether an entry admits calls of a team."""
-        homes = self._limits.homes(team=team)
-        return not homes or entry_id in homes
+        home_entry_ids = self._limits.home_entry_ids(team=team)
+        return not home_entry_ids or entry_id in home_entry_ids
 
     @contextlib.contextmanager
     def admit(self, call_id, request):
@@ -77,9 +77,9 @@
     def answer(self, request):
         """Return what another entry gets of what it asks to borrow."""
         made = self._apply(
-            events.AskReceived(
+            events.LoanRequestReceived(
                 entry_id=request.entry_id,
-                rows=_read_rows(request.rows, decisions.AskRow),
+                rows=_read_rows(request.rows, decisions.LoanRequestRow),
             )
         )
         rows = made[0].rows if made else ()
@@ -117,9 +117,9 @@
         if not isinstance(answer, messages.LoanAnswer):
             return
         self._apply(
-            events.GrantReceived(
+            events.LoanGrantReceived(
                 entry_id=decision.entry_id,
-                rows=_read_rows(answer.rows, decisions.GrantRow),
+                rows=_read_rows(answer.rows, decisions.LoanGrantRow),
             )
         )
 
--- a/packages/savoryyoke/savoryyoke/limits/aggregates.py
+++ b/packages/savoryyoke/savoryyoke/limits/aggregates.py
@@ -52,7 +52,7 @@
         # An earlier process of this entry may have lent out its share.
         self._accrues_from_s = now_s + conf.LOAN_DURATION_S
 
-    def homes(self, *, team):
+    def home_entry_ids(self, *, team):
         """Return the ids of the entries that admit the team's calls.
 
         The tuple is empty for a team without limits, whose calls are
@@ -61,7 +61,7 @@
         limit = self._limits_by_team.get(team)
         if limit is None:
             return ()
-        return self._homes.homes(team=team, limit=limit)
+        return self._homes.home_entry_ids(team=team, limit=limit)
 
     def apply(self, event, *, now_s):
         """Apply an event and return the resulting decisions.
@@ -131,18 +131,18 @@
             self._request_loans(team, resource, bucket, rows_by_entry, now_s)
             bucket.decay_demand(elapsed_s=elapsed_s)
         return tuple(
-            decisions.SendAsk(entry_id=entry_id, rows=tuple(rows))
+            decisions.SendLoanRequest(entry_id=entry_id, rows=tuple(rows))
             for entry_id, rows in rows_by_entry.items()
         )
 
     @_apply.register
-    def _(self, event: events.AskReceived, now_s):
+    def _(self, event: events.LoanRequestReceived, now_s):
         grant_rows = []
         for row in event.rows:
             granted_per_s = self._grant_loan(event.entry_id, row, now_s)
             if granted_per_s > 0:
                 grant_rows.append(
-                    decisions.GrantRow(
+                    decisions.LoanGrantRow(
                         team=row.team,
                         resource=row.resource,
                         rate_per_s=granted_per_s,
@@ -152,13 +152,13 @@
         if not grant_rows:
             return ()
         return (
-            decisions.SendGrant(
+            decisions.SendLoanGrant(
                 entry_id=event.entry_id, rows=tuple(grant_rows)
             ),
         )
 
     @_apply.register
-    def _(self, event: events.GrantReceived, now_s):
+    def _(self, event: events.LoanGrantReceived, now_s):
         for row in event.rows:
             request_sent_s = self._request_sent_s_by_number.get(row.number)
             bucket = self._buckets_by_key.get((row.team, row.resource))
@@ -199,7 +199,7 @@
     def _is_concurrency_used_up(self, team, limit):
         if limit.max_concurrency is None:
             return False
-        home_ids = self._homes.homes(team=team, limit=limit)
+        home_ids = self._homes.home_entry_ids(team=team, limit=limit)
         concurrency_share, remainder = divmod(
             limit.max_concurrency, max(len(home_ids), 1)
         )
@@ -224,7 +224,7 @@
             call_id=event.call_id,
             reason=reason,
             retry_after_s=retry_after_s,
-            entry_ids=self.homes(team=event.team),
+            entry_ids=self.home_entry_ids(team=event.team),
         )
 
     def _find_or_create_bucket(self, team, resource, limit):
@@ -237,7 +237,7 @@
         return self._buckets_by_key[key]
 
     def _base_per_s(self, team, resource, limit):
-        home_ids = self._homes.homes(team=team, limit=limit)
+        home_ids = self._homes.home_entry_ids(team=team, limit=limit)
         return limit.rate_by_resource[resource] / max(len(home_ids), 1)
 
     def _update_base_rates(self, now_s):
@@ -263,7 +263,7 @@
         wanted_per_s = bucket.demand_per_s - bucket.base_per_s
         other_home_ids = [
             home_id
-            for home_id in self.homes(team=team)
+            for home_id in self.home_entry_ids(team=team)
             if home_id != self._entry_id
         ]
         rows = sum(len(rows) for rows in rows_by_entry.values())
@@ -278,7 +278,7 @@
             )
             if missing_per_s <= 0:
                 continue
-            row = decisions.AskRow(
+            row = decisions.LoanRequestRow(
                 team=team,
                 resource=resource,
                 rate_per_s=missing_per_s,
--- a/packages/savoryyoke/savoryyoke/limits/decisions.py
+++ b/packages/savoryyoke/savoryyoke/limits/decisions.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class AskRow:
+class LoanRequestRow:
     """Request a loan; the grant repeats ``number`` to identify it."""
 
     team: str
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class GrantRow:
+class LoanGrantRow:
     """Grant a loan for LOAN_DURATION_S from when the request was sent."""
 
     team: str
@@ -56,16 +56,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class SendAsk:
+class SendLoanRequest:
     """Send loan requests to another entry."""
 
     entry_id: str
-    rows: tuple[AskRow, ...]
+    rows: tuple[LoanRequestRow, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class SendGrant:
+class SendLoanGrant:
     """Send the granted loans to the entry that requested them."""
 
     entry_id: str
-    rows: tuple[GrantRow, ...]
+    rows: tuple[LoanGrantRow, ...]
--- a/packages/savoryyoke/savoryyoke/limits/events.py
+++ b/packages/savoryyoke/savoryyoke/limits/events.py
@@ -43,16 +43,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class AskReceived:
+class LoanRequestReceived:
     """Report the loan requests of another entry."""
 
     entry_id: str
-    rows: tuple[decisions.AskRow, ...]
+    rows: tuple[decisions.LoanRequestRow, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class GrantReceived:
+class LoanGrantReceived:
     """Report the loans that another entry grants."""
 
     entry_id: str
-    rows: tuple[decisions.GrantRow, ...]
+    rows: tuple[decisions.LoanGrantRow, ...]
--- a/packages/savoryyoke/savoryyoke/limits/homes.py
+++ b/packages/savoryyoke/savoryyoke/limits/homes.py
@@ -56,7 +56,7 @@
         """Clear the chosen home entries after a change of limits."""
         self._homes_by_team.clear()
 
-    def homes(self, *, team, limit):
+    def home_entry_ids(self, *, team, limit):
         """Return the home entries in order of preference."""
         return self._homes_by_version(team, limit)[-1]
 
--- a/packages/savoryyoke/tests/limits/test_team_limits.py
+++ b/packages/savoryyoke/tests/limits/test_team_limits.py
@@ -76,7 +76,7 @@
     @property
     def homes(self):
         """Return the team's home entries."""
-        return self.entries_by_id[_ENTRIES[0]].homes(team=_TEAM)
+        return self.entries_by_id[_ENTRIES[0]].home_entry_ids(team=_TEAM)
 
     def run(self, *, for_s, calls_per_s_by_entry):
         """Send calls per second to entries; record the largest excess."""
@@ -135,9 +135,9 @@
         for _, sender, message in ready:
             if message.entry_id in self.frozen:
                 continue
-            event_class = events.GrantReceived
-            if isinstance(message, decisions.SendAsk):
-                event_class = events.AskReceived
+            event_class = events.LoanGrantReceived
+            if isinstance(message, decisions.SendLoanRequest):
+                event_class = events.LoanRequestReceived
             event = event_class(entry_id=sender, rows=message.rows)
             self._apply(message.entry_id, event)
 
--- a/tools/measure/overload_costs.py
+++ b/tools/measure/overload_costs.py
@@ -38,7 +38,7 @@
     own = [
         team
         for team in limits_by_team
-        if entry_ids[0] in limits.homes(team=team)
+        if entry_ids[0] in limits.home_entry_ids(team=team)
     ]
     for team in own:
         limits.apply(_limited_call(team), now_s=10.0)
