--- a/packages/savoryyoke/savoryyoke/admission/__init__.py
+++ b/packages/savoryyoke/savoryyoke/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Decide at a target which calls start, wait or are refused."""
+"""Decide at a target which calls are started, queued or refused."""
--- a/packages/savoryyoke/savoryyoke/admission/decisions.py
+++ b/packages/savoryyoke/savoryyoke/admission/decisions.py
@@ -5,7 +5,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Name why a call was refused before it ran."""
+    """List the reasons to refuse a call before it runs."""
 
     QUEUE_FULL = 'queue_full'
     TEAM_QUEUE_FULL = 'team_queue_full'
@@ -19,14 +19,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Start:
-    """Hand the call to the back end."""
+    """Send the call to the back end."""
 
     call_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Queue:
-    """Keep the call waiting; a Start or a Refuse follows."""
+    """Queue the call; a Start or a Refuse follows."""
 
     call_id: str
     estimated_wait_s: float
@@ -36,7 +36,8 @@
 class Refuse:
     """Refuse a call that did not run.
 
-    ``retry_after_s`` is when this target expects room for it.
+    ``retry_after_s`` is the number of seconds after which this target
+    expects to have capacity for it, or 0.0 without an estimate.
     """
 
     call_id: str
@@ -46,16 +47,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Abort:
-    """Ask the back end to stop a running call; Finished follows."""
+    """Stop a running call at the back end; a Finished event follows."""
 
     call_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """Describe a target's load for the entries.
+    """Describe the load of a target for the entries.
 
-    ``estimated_wait_s`` is the wait of a call that arrives now.
+    ``estimated_wait_s`` is the expected wait of a call that arrives now.
     """
 
     running: int
--- a/packages/savoryyoke/savoryyoke/admission/events.py
+++ b/packages/savoryyoke/savoryyoke/admission/events.py
@@ -1,4 +1,4 @@
-"""Define the events that change a target's admission."""
+"""Define the events of the admission package."""
 
 import dataclasses
 
@@ -8,12 +8,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arrived:
-    """Report a call that asks to run.
+    """Report the arrival of a call.
 
-    ``cost`` is the estimated work in any one unit, such as tokens, and
-    ``remaining_s`` the time left for the whole answer. A greater
-    ``priority`` goes first within the team. ``cancelable`` says whether
-    the back end lets a running call be aborted.
+    ``cost`` is the estimated work in a unit that all calls share, such as
+    tokens, and ``remaining_s`` the time left for the complete answer. Within
+    a team, calls of greater ``priority`` start first. ``cancelable`` is
+    true if the back end can abort the call while it is running.
     """
 
     call_id: str
@@ -31,10 +31,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finished:
-    """Report that the back end is done with a call.
+    """Report that a call is no longer running at the back end.
 
     ``succeeded`` is false for faults of the back end (an error, a
-    timeout, a lost connection), not for answers the caller dislikes.
+    timeout, a lost connection), but true for answers that report a fault
+    of the caller.
     """
 
     call_id: str
@@ -45,16 +46,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cancelled:
-    """Report that the caller no longer wants a call."""
+    """Report that the caller has cancelled a call."""
 
     call_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Released:
-    """Report that a started call was not handed to the back end.
+    """Report that a started call was not sent to the back end.
 
-    Its place is free again; the call says nothing about the back end.
+    The call no longer counts as running and does not affect the limit.
     """
 
     call_id: str
@@ -62,14 +63,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Report that time has passed."""
+    """Trigger the refusal of calls that have waited too long."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BackendStopped:
-    """Report that the back end is gone; BackendRestarted ends this.
+    """Report that the back end has stopped, until BackendRestarted.
 
-    Running calls still have to be reported as Finished.
+    The running calls must still be reported as Finished.
     """
 
 
@@ -85,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LimitsChanged:
-    """Report new limits and, with ``policy``, a new pace of warm-up."""
+    """Report new limits and, with ``policy``, a new warm-up policy."""
 
     limits: conf.AdmissionLimits
     policy: conf.WarmUpPolicy | None = None
@@ -93,9 +94,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DrainStarted:
-    """Report that the target is leaving."""
+    """Report that the target is draining before it shuts down."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DrainEnded:
-    """Report that the target takes part again."""
+    """Report that the target accepts calls again."""
--- a/packages/savoryyoke/savoryyoke/admission/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/admission/exceptions.py
@@ -10,7 +10,7 @@
 
 
 class DuplicateCall(AdmissionError):
-    """Report an arrival under the id of a call that is still known."""
+    """Report an arrival whose call id is already waiting or running."""
 
 
 class InvalidCall(AdmissionError):
@@ -18,4 +18,4 @@
 
 
 class InvalidLimits(AdmissionError):
-    """Report limits that no target could run under."""
+    """Report limits outside their valid range."""
--- a/packages/savoryyoke/savoryyoke/admission/latency.py
+++ b/packages/savoryyoke/savoryyoke/admission/latency.py
@@ -2,21 +2,24 @@
 
 
 class LatencyBaseline:
-    """Track a slow baseline and a fast average of one latency."""
+    """Track two moving averages of one latency, a slow and a fast one.
+
+    The slow average is the baseline with which the fast one is compared.
+    """
 
     def __init__(self, *, policy):
         self._policy = policy
-        self.restart()
+        self.reset()
 
     @property
     def ratio(self):
-        """Return recent latency divided by the baseline, 1.0 if unknown."""
+        """Return recent latency over the baseline, or 1.0 if unknown."""
         if self._recent_s is None:
             return 1.0
         return self._recent_s / self._baseline_s
 
     def observe(self, *, sample_s):
-        """Take in one latency in seconds."""
+        """Add one latency in seconds; zero and less are ignored."""
         if sample_s <= 0:
             return
         if self._baseline_s is None:
@@ -29,20 +32,21 @@
         smoothing = max(self._baseline_smoothing(sample_s), 1 / self._samples)
         self._baseline_s += smoothing * (sample_s - self._baseline_s)
 
-    def forget_recent(self):
-        """Drop the recent average and keep the baseline."""
+    def reset_recent(self):
+        """Reset the recent average and keep the baseline."""
         self._recent_s = None
 
-    def restart(self):
-        """Drop the baseline too, as a cold back end has one of its own."""
+    def reset(self):
+        """Reset both averages, as a cold back end has another baseline."""
         self._baseline_s = None
         self._recent_s = None
         self._samples = 0
 
     def _baseline_smoothing(self, sample_s):
-        # The baseline follows a back end that warms up faster than one
-        # that slows down. A lasting slowdown is accepted in the end, or
-        # one change of workload would hold the limit down for good.
+        # The baseline adapts faster to falling latencies, as of a back end
+        # that warms up, than to rising ones. It still adapts to a lasting
+        # slowdown; otherwise a change of workload would keep the limit low
+        # permanently.
         if sample_s < self._baseline_s:
             return 2 * self._policy.baseline_smoothing
         if self.ratio > self._policy.healthy_ratio:
--- a/packages/savoryyoke/tests/admission/simulation.py
+++ b/packages/savoryyoke/tests/admission/simulation.py
@@ -1,4 +1,4 @@
-"""Run an admission against scripted arrivals and a simple back end."""
+"""Simulate admission with scheduled arrivals and a simple back end."""
 
 import heapq
 
@@ -7,16 +7,16 @@
 
 
 class Simulation:
-    """Drive one admission by virtual time and record what it decided.
+    """Run one Admission in simulated time and record its decisions.
 
     ``service_time_s`` is called with the call, the number of running calls
-    and the time, and returns how long the back end takes for the call.
+    and the time, and returns the seconds that the back end needs.
     """
 
     def __init__(self, *, admission, service_time_s):
         self.admission = admission
         self._service_time_s = service_time_s
-        self._pending = []
+        self._scheduled_events = []
         self._sequence = 0
         self.arrivals_by_id = {}
         self.started_s_by_id = {}
@@ -25,14 +25,14 @@
         self.limits = []
 
     def schedule(self, *, at_s, event):
-        """Let an event happen at a time."""
+        """Schedule an event at a time in seconds."""
         self._sequence += 1
-        heapq.heappush(self._pending, (at_s, self._sequence, event))
+        heapq.heappush(self._scheduled_events, (at_s, self._sequence, event))
 
     def run(self):
-        """Handle all scheduled events and what follows from them."""
-        while self._pending:
-            now_s, _, event = heapq.heappop(self._pending)
+        """Handle all scheduled events and the completions they cause."""
+        while self._scheduled_events:
+            now_s, _, event = heapq.heappop(self._scheduled_events)
             if isinstance(event, events.Arrived):
                 self.arrivals_by_id[event.call_id] = (now_s, event)
             for decision in self.admission.apply(event, now_s=now_s):
--- a/packages/savoryyoke/tests/admission/test_fairness.py
+++ b/packages/savoryyoke/tests/admission/test_fairness.py
@@ -1,4 +1,4 @@
-"""Test that teams share a target by their weights."""
+"""Test that teams share a target in proportion to their weights."""
 
 import itertools
 import unittest
@@ -14,7 +14,7 @@
 from savoryyoke.admission import queues
 from tests.admission import simulation
 
-_SEED = 7
+_RANDOM_SEED = 7
 _COSTS = strategies.lists(strategies.integers(1, 20), min_size=30, max_size=40)
 
 
@@ -28,14 +28,14 @@
 
 
 class _KeepsCredit(queues.FairQueue):
-    """Mutant: lets an idle team save up its share."""
+    """Mutant: lets an idle team accumulate its share."""
 
-    def _enter(self, queue):
+    def _add_backlogged(self, queue):
         self._virtual_time = 0.0
-        super()._enter(queue)
+        super()._add_backlogged(queue)
 
 
-def _waiting(team, number, weight, cost):
+def _build_queued_call(team, number, weight, cost):
     return queues.QueuedCall(
         call_id=f'{team}-{number}',
         team=team,
@@ -49,33 +49,46 @@
 
 
 def _check_against_fluid(queue_class, costs_by_team, weight_by_team):
-    """Compare work started with an ideal fluid server's shares.
+    """Compare the started work with the shares of an ideal fluid server.
 
-    Teams join one after the other. While all present are backlogged, the
-    work over weight of any two may differ by no more than the largest
-    call of each over its weight.
+    Teams join one after the other. While all joined teams have waiting calls,
+    the started work divided by the weight may differ between two teams by no
+    more than the sum of their largest calls, each divided by its weight.
     """
     queue = queue_class()
-    joined = []
+    joined_teams = []
     for team, costs in costs_by_team.items():
         for number, cost in enumerate(costs):
-            queue.push(_waiting(team, number, weight_by_team[team], cost))
-        joined.append(team)
-        served = dict.fromkeys(joined, 0.0)
+            queue.push(
+                _build_queued_call(team, number, weight_by_team[team], cost)
+            )
+        joined_teams.append(team)
+        served_per_weight = dict.fromkeys(joined_teams, 0.0)
         for _ in range(8):
             call = queue.pop()
-            served[call.team] += call.cost / weight_by_team[call.team]
-            _check_pairs(served, costs_by_team, weight_by_team)
+            served_per_weight[call.team] += (
+                call.cost / weight_by_team[call.team]
+            )
+            _check_pairs(served_per_weight, costs_by_team, weight_by_team)
 
 
-def _check_pairs(served, costs_by_team, weight_by_team):
-    for one, other in itertools.combinations(served, 2):
+def _check_pairs(served_per_weight, costs_by_team, weight_by_team):
+    for first_team, second_team in itertools.combinations(
+        served_per_weight, 2
+    ):
         bound = sum(
             max(costs_by_team[team]) / weight_by_team[team]
-            for team in (one, other)
+            for team in (first_team, second_team)
+        )
+        difference = abs(
+            served_per_weight[first_team] - served_per_weight[second_team]
+        )
+        assert difference <= bound + 1e-9, (
+            first_team,
+            second_team,
+            difference,
+            bound,
         )
-        difference = abs(served[one] - served[other])
-        assert difference <= bound + 1e-9, (one, other, difference, bound)
 
 
 class FluidShareTest(unittest.TestCase):
@@ -88,7 +101,9 @@
             strategies.sampled_from([0.5, 1.0, 3.0]), min_size=3, max_size=3
         ),
     )
-    def test_shares_stay_within_one_call_of_each_team(self, costs, weights):
+    def test_shares_differ_by_at_most_one_call_of_each_team(
+        self, costs, weights
+    ):
         names = [f'team-{number}' for number in range(len(costs))]
         _check_against_fluid(
             queues.FairQueue,
@@ -103,25 +118,30 @@
             with self.assertRaises(AssertionError, msg=mutant.__name__):
                 _check_against_fluid(mutant, costs, weights)
 
-    def test_priority_goes_first_but_starves_nobody(self):
+    def test_priority_goes_first_without_starvation(self):
         queue = queues.FairQueue()
         for number in range(100):
-            urgent = _call('t', f'urgent-{number}', priority=1)
-            queue.push(_queued(urgent, arrived_s=float(number)))
-        queue.push(_queued(_call('t', 'patient', priority=0), arrived_s=0.0))
+            urgent = _build_arrival('t', f'urgent-{number}', priority=1)
+            queue.push(_queue_arrival(urgent, arrived_s=float(number)))
+        queue.push(
+            _queue_arrival(
+                _build_arrival('t', 'patient', priority=0), arrived_s=0.0
+            )
+        )
         order = [queue.pop().call_id for _ in range(101)]
         place = order.index('patient')
-        # One urgent call arrives each second; on a tie it was first.
+        # One urgent call arrives each second; of equal ranks the one that was
+        # queued first starts first.
         self.assertEqual(conf.PRIORITY_HEAD_START_S + 1, place)
 
 
-def _call(team, call_id, priority=0):
+def _build_arrival(team, call_id, priority=0):
     return events.Arrived(
         call_id=call_id, team=team, remaining_s=300.0, priority=priority
     )
 
 
-def _queued(call, arrived_s):
+def _queue_arrival(call, arrived_s):
     return queues.QueuedCall(
         call_id=call.call_id,
         team=call.team,
@@ -135,7 +155,7 @@
 
 
 def _small_team_p95_wait_s(queue_class, burst):
-    """Return the 95th percentile and the refusals of a steady team."""
+    """Return the 95th percentile wait and refusals of the small team."""
     admission = aggregates.Admission(
         limits=conf.AdmissionLimits(
             max_concurrency=4, initial_concurrency=4, queue_limit=200
@@ -146,14 +166,16 @@
         admission=admission,
         service_time_s=lambda call, running, now_s: 0.5,
     )
-    generator = numpy.random.default_rng(_SEED)
+    generator = numpy.random.default_rng(_RANDOM_SEED)
     for team, count, rate in (('large', 500, 6.0), ('small', 80, 1.0)):
         gaps = generator.exponential(1 / rate, count)
         for number, at_s in enumerate(numpy.cumsum(gaps)):
-            arrived = _call(team, f'{team}-{number}')
+            arrived = _build_arrival(team, f'{team}-{number}')
             sim.schedule(at_s=float(at_s), event=arrived)
     for number in range(burst):
-        sim.schedule(at_s=20.0, event=_call('large', f'burst-{number}'))
+        sim.schedule(
+            at_s=20.0, event=_build_arrival('large', f'burst-{number}')
+        )
     sim.run()
     refused = [name for name in sim.refusals_by_id if 'small' in name]
     waits_s = sim.waits_s('small')
@@ -161,63 +183,65 @@
 
 
 class BurstTest(unittest.TestCase):
-    """Check what a large team's burst does to a small team."""
+    """Check the effect of a large team's burst on a small team."""
 
-    # A small team's call waits for the running calls and, at most, one
-    # call of the other team per call of its own.
-    _FACTOR = 3.0
+    # A call of the small team waits for the running calls and for at most one
+    # call of the other team per call of its own team.
+    _MAX_SLOWDOWN = 3.0
 
-    def test_burst_hardly_moves_the_small_team(self):
+    def test_burst_barely_delays_the_small_team(self):
         calm_s, _ = _small_team_p95_wait_s(queues.FairQueue, 0)
         burst_s, refused = _small_team_p95_wait_s(queues.FairQueue, 300)
         naive_s, _ = _small_team_p95_wait_s(_FirstComeFirstServed, 300)
         self.assertEqual(0, refused)
-        self.assertLessEqual(burst_s, self._FACTOR * max(calm_s, 0.125))
-        self.assertGreater(naive_s, self._FACTOR * max(calm_s, 0.125))
+        self.assertLessEqual(burst_s, self._MAX_SLOWDOWN * max(calm_s, 0.125))
+        self.assertGreater(naive_s, self._MAX_SLOWDOWN * max(calm_s, 0.125))
 
 
 class QueueShareTest(unittest.TestCase):
     """Check how teams share the places of a bounded queue."""
 
     def setUp(self):
-        """Keep the back end busy."""
+        """Start one call, so that later calls are queued."""
         self.admission = aggregates.Admission(
             limits=conf.AdmissionLimits(max_concurrency=1, queue_limit=10)
         )
         self._queued_after('busy', 1)
 
-    def test_one_team_leaves_half_of_the_places(self):
+    def test_one_team_uses_at_most_half_of_the_queue(self):
         self.assertEqual(5, self._queued_after('large', 50))
 
-    def test_newcomer_displaces_the_longest_queue(self):
+    def test_call_of_new_team_displaces_one_of_the_longest_queue(self):
         for number in range(6):
             self._queued_after(f'team-{number}', 10)
-        before = self.admission.snapshot().queued
-        self.assertEqual(10, before)
-        made = self.admission.apply(_call('new', 'new-0'), now_s=0.0)
-        displaced, queued = made
+        queued_before = self.admission.snapshot().queued
+        self.assertEqual(10, queued_before)
+        new_decisions = self.admission.apply(
+            _build_arrival('new', 'new-0'), now_s=0.0
+        )
+        displaced, queued = new_decisions
         self.assertIs(decisions.RefusalReason.DISPLACED, displaced.reason)
         self.assertTrue(displaced.call_id.startswith('team-0'))
         self.assertEqual('new-0', queued.call_id)
 
     def _queued_after(self, team, calls):
         for number in range(calls):
-            arrived = _call(team, f'{team}-{number}')
+            arrived = _build_arrival(team, f'{team}-{number}')
             self.admission.apply(arrived, now_s=0.0)
         return self.admission.snapshot().queued
 
 
 class WaitEstimateTest(unittest.TestCase):
-    """Check the estimated waits against what the calls met."""
+    """Compare the estimated waits with the real ones."""
 
-    def test_most_estimates_are_right_within_a_factor_of_two(self):
-        self.assertGreaterEqual(_share_of_true_estimates(1), 0.8)
-        # Mutant: forgets that calls run side by side.
-        self.assertLess(_share_of_true_estimates(4), 0.8)
+    def test_most_estimates_are_within_a_factor_of_two(self):
+        self.assertGreaterEqual(_share_of_accurate_estimates(1), 0.8)
+        # Mutant: ignores that four calls run at once.
+        self.assertLess(_share_of_accurate_estimates(4), 0.8)
 
 
-def _share_of_true_estimates(factor):
-    """Return the share of queued calls with a true estimate."""
+def _share_of_accurate_estimates(factor):
+    """Return the share of queued calls with an accurate estimate."""
     admission = aggregates.Admission(
         limits=conf.AdmissionLimits(
             max_concurrency=4, initial_concurrency=4, queue_limit=400
@@ -227,7 +251,7 @@
         admission=admission,
         service_time_s=lambda call, running, now_s: 0.5 * call.cost,
     )
-    generator = numpy.random.default_rng(_SEED)
+    generator = numpy.random.default_rng(_RANDOM_SEED)
     for team, rate in (('large', 4.0), ('small', 1.0)):
         gaps = generator.exponential(1 / rate, int(60 * rate))
         for number, at_s in enumerate(numpy.cumsum(gaps)):
@@ -239,9 +263,9 @@
             )
             sim.schedule(at_s=float(at_s), event=arrived)
     sim.run()
-    true = [
+    accurate = [
         0.5 <= sim.wait_s(call_id) / (factor * estimated_s) <= 2.0
         for call_id, estimated_s in sim.estimates_s_by_id.items()
         if estimated_s > 0
     ]
-    return sum(true) / len(sim.estimates_s_by_id)
+    return sum(accurate) / len(sim.estimates_s_by_id)
--- a/packages/savoryyoke/tests/admission/test_warmup.py
+++ b/packages/savoryyoke/tests/admission/test_warmup.py
@@ -1,4 +1,4 @@
-"""Test that the limit in force follows the evidence."""
+"""Test how the concurrency limit adapts to the back end."""
 
 import unittest
 
@@ -18,10 +18,10 @@
 
 
 class _IgnoresEpochs(warmup.ConcurrencyLimit):
-    """Mutant: takes calls from before a restart as evidence."""
+    """Mutant: counts calls from before a restart."""
 
-    def record_success(self, *, epoch, **evidence):
-        super().record_success(epoch=self.epoch, **evidence)
+    def record_success(self, *, epoch, **sample):
+        super().record_success(epoch=self.epoch, **sample)
 
 
 class _NeverCuts(warmup.ConcurrencyLimit):
@@ -32,14 +32,14 @@
 
 
 class _NoCeiling(warmup.ConcurrencyLimit):
-    """Mutant: climbs back to the limit that went wrong."""
+    """Mutant: grows back quickly to the limit that was too high."""
 
     def _cut(self, factor):
         super()._cut(factor)
         self._ceiling = float('inf')
 
 
-def _simulate(service_time_s, *, calls, rate, limit_class=None):
+def _simulate(service_time_s, *, calls, calls_per_s, limit_class=None):
     admission = aggregates.Admission(limits=_LIMITS)
     if limit_class is not None:
         admission._concurrency = limit_class(limits=_LIMITS, policy=_POLICY)
@@ -50,30 +50,30 @@
         arrived = events.Arrived(
             call_id=f'call-{number}', team='t', remaining_s=1e6
         )
-        sim.schedule(at_s=number / rate, event=arrived)
+        sim.schedule(at_s=number / calls_per_s, event=arrived)
     sim.run()
     return sim
 
 
-def _check_restart(limit_class, before, after):
-    """Restart under load; bound the limit by the proof given since."""
+def _check_restart(limit_class, calls_before, calls_after):
+    """Restart under load; check the limit against successes since then."""
     limit = limit_class(limits=_LIMITS, policy=_POLICY)
-    started_before = [limit.epoch] * before
-    for _ in range(before):
-        _succeed(limit, limit.epoch)
+    epochs_before = [limit.epoch] * calls_before
+    for _ in range(calls_before):
+        _record_success(limit, limit.epoch)
     limit.turn_cold()
-    for epoch in started_before:
-        _succeed(limit, epoch)
+    for epoch in epochs_before:
+        _record_success(limit, epoch)
     assert limit.in_force == _LIMITS.initial_concurrency
-    for proved in range(after):
+    for successes in range(calls_after):
         bound = _LIMITS.initial_concurrency + (
-            _POLICY.slow_start_step * proved
+            _POLICY.slow_start_step * successes
         )
         assert limit.in_force <= bound, (limit.in_force, bound)
-        _succeed(limit, limit.epoch)
+        _record_success(limit, limit.epoch)
 
 
-def _succeed(limit, epoch):
+def _record_success(limit, epoch):
     limit.record_success(
         epoch=epoch,
         limit_was_used=True,
@@ -83,32 +83,35 @@
 
 
 class ColdTargetTest(unittest.TestCase):
-    """Check restarts, silent cold starts and idle time."""
+    """Check restarts, unreported cold starts and idle time."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=50)
     @hypothesis.given(
-        before=strategies.integers(0, 60), after=strategies.integers(0, 60)
+        calls_before=strategies.integers(0, 60),
+        calls_after=strategies.integers(0, 60),
     )
-    def test_restart_leaves_only_what_was_proved_since(self, before, after):
-        _check_restart(warmup.ConcurrencyLimit, before, after)
+    def test_only_successes_since_a_restart_raise_the_limit(
+        self, calls_before, calls_after
+    ):
+        _check_restart(warmup.ConcurrencyLimit, calls_before, calls_after)
 
     def test_restart_mutant_is_caught(self):
         with self.assertRaises(AssertionError):
             _check_restart(_IgnoresEpochs, 20, 5)
 
-    def test_silent_cold_start_is_noticed(self):
+    def test_unreported_cold_start_is_detected(self):
         self.assertEqual(1, self._least_limit_when_cold(None))
         self.assertEqual(16, self._least_limit_when_cold(_NeverCuts))
 
-    def test_steady_cold_target_may_grow_again(self):
+    def test_limit_of_a_steady_cold_target_grows_again(self):
         sim = _simulate(
             lambda call, running, now_s: 0.6 if now_s > 20.0 else 0.1,
             calls=2000,
-            rate=80.0,
+            calls_per_s=80.0,
         )
         self.assertGreaterEqual(sim.limits[-1][1], 8)
 
-    def test_crash_halves_the_speed_of_the_next_ramp(self):
+    def test_crash_halves_the_next_growth(self):
         limits = []
         for crashes in (0, 1):
             limit = warmup.ConcurrencyLimit(limits=_LIMITS, policy=_POLICY)
@@ -116,29 +119,29 @@
                 limit.record_crash()
             limit.turn_cold()
             for _ in range(12):
-                _succeed(limit, limit.epoch)
+                _record_success(limit, limit.epoch)
             limits.append(limit.in_force)
         self.assertEqual([7, 4], limits)
 
-    def test_raised_bound_is_reached_as_fast_as_from_the_start(self):
-        reached = []
+    def test_raised_maximum_is_reached_as_fast_as_an_initial_one(self):
+        reached_limits = []
         for limits in (_LIMITS, conf.AdmissionLimits(max_concurrency=2)):
             limit = warmup.ConcurrencyLimit(limits=limits, policy=_POLICY)
             limit.change_limits(limits=_LIMITS)
             for _ in range(20):
-                _succeed(limit, limit.epoch)
-            reached.append(limit.in_force)
-        self.assertEqual([11, 11], reached)
+                _record_success(limit, limit.epoch)
+            reached_limits.append(limit.in_force)
+        self.assertEqual([11, 11], reached_limits)
 
     def test_idle_time_lowers_the_limit(self):
-        sim = _simulate(lambda *_: 0.1, calls=300, rate=200.0)
+        sim = _simulate(lambda *_: 0.1, calls=300, calls_per_s=200.0)
         self.assertEqual(16, sim.limits[-1][1])
         now_s = 3 * _POLICY.idle_period_s + 10.0
         sim.admission.apply(events.Ticked(), now_s=now_s)
         self.assertLessEqual(sim.admission.snapshot().concurrency_limit, 4)
 
     def test_failures_turn_a_warm_target_cold(self):
-        sim = _simulate(lambda *_: 0.1, calls=300, rate=200.0)
+        sim = _simulate(lambda *_: 0.1, calls=300, calls_per_s=200.0)
         for number in range(6):
             arrived = events.Arrived(
                 call_id=f'bad-{number}', team='t', remaining_s=10.0
@@ -155,40 +158,48 @@
         sim = _simulate(
             lambda call, running, now_s: 0.6 if now_s > 20.0 else 0.1,
             calls=2000,
-            rate=80.0,
+            calls_per_s=80.0,
             limit_class=limit_class,
         )
         return min(limit for at_s, limit in sim.limits if 20.0 < at_s < 25.0)
 
 
 class OverloadedBackendTest(unittest.TestCase):
-    """Check a back end that bears less than the operators' bound."""
+    """Check a back end whose capacity is below max_concurrency."""
 
-    # The limit may probe beyond the knee for a fifth of the time.
-    _PROBING_SHARE = 0.2
+    # The limit may exceed the capacity of 8 calls for a fifth of the time.
+    _MAX_SHARE_ABOVE_CAPACITY = 0.2
 
-    def test_limit_settles_below_the_knee(self):
-        settled = self._settled_limits(None)
-        self.assertLessEqual(max(settled) - min(settled), 3)
+    def test_limit_settles_below_the_capacity(self):
+        settled_limits = self._settled_limits(None)
+        self.assertLessEqual(max(settled_limits) - min(settled_limits), 3)
         self.assertLessEqual(
-            self._share_beyond_knee(settled), self._PROBING_SHARE
+            self._share_above_capacity(settled_limits),
+            self._MAX_SHARE_ABOVE_CAPACITY,
         )
-        mutated = self._settled_limits(_NoCeiling)
+        mutant_limits = self._settled_limits(_NoCeiling)
         self.assertGreater(
-            self._share_beyond_knee(mutated), self._PROBING_SHARE
+            self._share_above_capacity(mutant_limits),
+            self._MAX_SHARE_ABOVE_CAPACITY,
         )
 
-    def _share_beyond_knee(self, limits):
+    def _share_above_capacity(self, limits):
         return sum(limit > 8 for limit in limits) / len(limits)
 
     def _settled_limits(self, limit_class):
-        """Return the limits of the last half; the knee is at 8 calls."""
+        """Return the limits of the last half of a run.
+
+        The service time increases sharply above 8 calls at once.
+        """
 
         def service_time_s(call, running, now_s):
             return 0.1 if running <= 8 else 0.1 * (running - 7) ** 2
 
         sim = _simulate(
-            service_time_s, calls=6000, rate=100.0, limit_class=limit_class
+            service_time_s,
+            calls=6000,
+            calls_per_s=100.0,
+            limit_class=limit_class,
         )
         limits = [limit for _, limit in sim.limits]
         return limits[len(limits) // 2 :]
