--- a/packages/savoryyoke/savoryyoke/admission/aggregates.py
+++ b/packages/savoryyoke/savoryyoke/admission/aggregates.py
@@ -8,8 +8,8 @@
 from savoryyoke.admission import estimates
 from savoryyoke.admission import events
 from savoryyoke.admission import exceptions
-from savoryyoke.admission import promises
 from savoryyoke.admission import queues
+from savoryyoke.admission import retry_schedules
 from savoryyoke.admission import warmup
 
 _Reason = decisions.RefusalReason
@@ -39,7 +39,7 @@
         )
         self._queue = queues.FairQueue()
         self._service_estimate = estimates.ServiceEstimate()
-        self._retry_schedule = promises.RetrySchedule()
+        self._retry_schedule = retry_schedules.RetrySchedule()
         self._running_calls_by_id = {}
         self._expiry_refusals = []
         self._draining = False
@@ -69,7 +69,7 @@
         Raises UnknownEvent for an unsupported event type and DuplicateCall
         for an arrival whose call id is already waiting or running.
         """
-        self._concurrency.notice_time(
+        self._concurrency.halve_if_idle(
             now_s=now_s, running=len(self._running_calls_by_id)
         )
         # Stored until an event is accepted, so that an error loses no refusal.
--- a/packages/savoryyoke/savoryyoke/admission/warmup.py
+++ b/packages/savoryyoke/savoryyoke/admission/warmup.py
@@ -61,7 +61,7 @@
         )
         self._successes_since_crash = 0
 
-    def notice_time(self, *, now_s, running):
+    def halve_if_idle(self, *, now_s, running):
         """Halve the limit for each idle period without a running call."""
         if self._last_activity_s is None or running:
             self._last_activity_s = now_s
--- a/packages/savoryyoke/savoryyoke/limits/aggregates.py
+++ b/packages/savoryyoke/savoryyoke/limits/aggregates.py
@@ -3,7 +3,7 @@
 import dataclasses
 import functools
 
-from savoryyoke.admission import promises
+from savoryyoke.admission import retry_schedules
 from savoryyoke.limits import buckets
 from savoryyoke.limits import conf
 from savoryyoke.limits import decisions
@@ -40,7 +40,7 @@
         self._homes = homes.HomeHistory(entry_id=entry_id)
         self._limits_by_team = {}
         self._buckets_by_key = {}
-        self._retry_schedule = promises.RetrySchedule()
+        self._retry_schedule = retry_schedules.RetrySchedule()
         self._running_calls_by_id = {}
         self._running_count_by_team = {}
         self._request_sent_s_by_number = {}
--- a/tools/measure/cold_targets.py
+++ b/tools/measure/cold_targets.py
@@ -57,7 +57,7 @@
         """Return the number of calls that may run at once."""
         return self._limits.max_concurrency
 
-    def notice_time(self, *, now_s, running):
+    def halve_if_idle(self, *, now_s, running):
         """Ignore the time."""
 
     def record_success(self, **evidence):
@@ -88,7 +88,7 @@
         share = (self._now_s - self._started_s) / RAMP_S
         return max(1, int(min(share, 1.0) * self._limits.max_concurrency))
 
-    def notice_time(self, *, now_s, running):
+    def halve_if_idle(self, *, now_s, running):
         """Follow the time."""
         self._now_s = now_s
 
