--- a/packages/savoryyoke/savoryyoke/quarantine/__init__.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Stop requests that crash each back end that runs them."""
+"""Detect and stop requests that crash the back ends they run on."""
--- a/packages/savoryyoke/savoryyoke/quarantine/aggregates.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/aggregates.py
@@ -1,4 +1,4 @@
-"""Decide which requests run, run in isolation or are refused for good."""
+"""Decide which requests run, run in isolation or are refused."""
 
 import collections
 import dataclasses
@@ -16,19 +16,20 @@
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Retrial:
     call_id: str
-    began_s: float
+    started_s: float
 
 
 class Quarantine:
     """Track requests that crash back ends, at an entry or a target.
 
-    All roles hold the same mergeable evidence. An entry asks with
-    CallOffered, a target with RunRequested right before a start. A target
-    runs one suspect at a time, beside calls that are clear.
+    Entries and targets exchange and merge the same evidence. An entry applies
+    CallOffered before it routes a call, and a target applies RunRequested
+    before it starts one. A target runs at most one suspect at a time, in
+    parallel with calls that are not suspected.
 
-    An entry that calls back ends without a process of ours beside them asks
-    with SendOffered. It withholds a quarantined request from the releases
-    that it crashed, so that it may run on another one.
+    An entry that calls back ends directly, without a target process next to
+    them, applies SendOffered. A quarantined request is then withheld only
+    from the releases that it has crashed, so another release may run it.
     """
 
     def __init__(self, *, policy=None):
@@ -40,17 +41,17 @@
 
     @property
     def evidence(self):
-        """Return the evidence, to be read only."""
+        """Return the evidence, which callers must not change."""
         return self._evidence
 
     def status(self, fingerprint):
-        """Return the present status of a request."""
+        """Return the present Status of a request."""
         return self._evidence.status(fingerprint)
 
     def apply(self, event, *, now_s):
-        """Take in an event and return the decisions that follow from it.
+        """Apply an event and return the resulting decisions.
 
-        Raises UnknownEvent for other types.
+        Raises UnknownEvent for an unsupported event type.
         """
         self._evidence.forget_expired(now_s=now_s)
         return self._apply(event, now_s)
@@ -63,7 +64,7 @@
     def _(self, event: events.CallOffered, now_s):
         status = self.status(event.fingerprint)
         if status is _Status.QUARANTINED:
-            return (self._refuse(event, now_s),)
+            return (self._build_refusal(event, now_s),)
         if status is _Status.SUSPECT:
             reports = self._evidence.reports_about(
                 event.fingerprint, now_s=now_s
@@ -75,17 +76,19 @@
     def _(self, event: events.SendOffered, now_s):
         if self.status(event.fingerprint) is not _Status.QUARANTINED:
             return (decisions.Route(call_id=event.call_id),)
-        record = self._evidence.record(event.fingerprint)
-        left_s = record.newest_s + self._retrial_after_s(record) - now_s
-        if left_s <= 0 and self._begin_retrial(event, now_s):
+        summary = self._evidence.record(event.fingerprint)
+        remaining_s = (
+            summary.last_crash_s + self._retrial_after_s(summary) - now_s
+        )
+        if remaining_s <= 0 and self._begin_retrial(event, now_s):
             return (decisions.Route(call_id=event.call_id),)
         return (
             decisions.Withhold(
                 fingerprint=event.fingerprint,
-                releases=record.releases,
-                crashes=record.crashes,
-                retry_after_s=max(left_s, self._policy.retrial_timeout_s),
-                includes_others=self._withholds_others(record, now_s),
+                releases=summary.releases,
+                crashes=summary.crashes,
+                retry_after_s=max(remaining_s, self._policy.retrial_timeout_s),
+                includes_others=self._withholds_other_releases(summary, now_s),
             ),
         )
 
@@ -94,38 +97,38 @@
         self._evidence.set_threshold(
             self._policy.crashes_to_quarantine
             if event.count
-            else self._policy.crashes_when_alone
+            else self._policy.crashes_to_quarantine_without_peers
         )
         return ()
 
     @_apply.register
     def _(self, event: events.RunRequested, now_s):
-        stopped = self._merge(event.reports, now_s)
+        stop_decisions = self._merge(event.reports, now_s)
         status = self.status(event.fingerprint)
         if status is _Status.QUARANTINED:
-            return (*stopped, self._refuse(event, now_s))
+            return (*stop_decisions, self._build_refusal(event, now_s))
         suspect = status is _Status.SUSPECT
-        isolated = self._running_suspects() if suspect else frozenset()
-        if isolated:
+        running_suspects = self._running_suspects() if suspect else frozenset()
+        if running_suspects:
             refusal = decisions.RefuseWhileIsolating(
                 call_id=event.call_id,
-                same_request=event.fingerprint in isolated,
+                same_request=event.fingerprint in running_suspects,
             )
-            return (*stopped, refusal)
+            return (*stop_decisions, refusal)
         self._fingerprints_by_call_id[event.call_id] = event.fingerprint
         run = decisions.Run(call_id=event.call_id, suspect=suspect)
-        return (*stopped, run)
+        return (*stop_decisions, run)
 
     @_apply.register
     def _(self, event: events.RunEnded, now_s):
         fingerprint = self._fingerprints_by_call_id.pop(event.call_id, None)
         if fingerprint is not None and event.succeeded:
-            self._note_success(fingerprint, '', now_s)
+            self._record_success(fingerprint, '', now_s)
         return ()
 
     @_apply.register
     def _(self, event: events.CallSucceeded, now_s):
-        self._note_success(event.fingerprint, event.release, now_s)
+        self._record_success(event.fingerprint, event.release, now_s)
         return ()
 
     @_apply.register
@@ -140,12 +143,16 @@
             remaining_s=self._policy.evidence_s,
         )
         self._merge((report,), now_s)
-        known = {
-            known.crash_id: known
+        reports_by_id = {
+            related.crash_id: related
             for fingerprint in fingerprints
-            for known in self._evidence.reports_about(fingerprint, now_s=now_s)
+            for related in self._evidence.reports_about(
+                fingerprint, now_s=now_s
+            )
         }
-        reports = tuple(known[crash_id] for crash_id in sorted(known))
+        reports = tuple(
+            reports_by_id[crash_id] for crash_id in sorted(reports_by_id)
+        )
         return (decisions.ShareReports(reports=reports, urgent=True),)
 
     @_apply.register
@@ -164,15 +171,15 @@
         return (decisions.ShareReports(reports=reports, urgent=False),)
 
     def _merge(self, reports, now_s):
-        changed = [
+        new_reports = [
             report
             for report in reports
             if self._evidence.merge(report, now_s=now_s)
         ]
-        if not changed:
+        if not new_reports:
             return ()
-        self._forget_successes(now_s)
-        for report in changed:
+        self._drop_old_successes(now_s)
+        for report in new_reports:
             for fingerprint in report.fingerprints:
                 if (fingerprint, report.release) in self._succeeded_s_by_key:
                     self._evidence.clear(fingerprint, release=report.release)
@@ -182,7 +189,7 @@
             if self.status(fingerprint) is _Status.QUARANTINED
         )
 
-    def _refuse(self, event, now_s):
+    def _build_refusal(self, event, now_s):
         reports = self._evidence.reports_about(event.fingerprint, now_s=now_s)
         return decisions.RefuseForGood(
             call_id=event.call_id,
@@ -197,47 +204,47 @@
             if self.status(fingerprint) is _Status.SUSPECT
         )
 
-    def _retrial_after_s(self, record):
-        doublings = record.crashes - self._policy.crashes_to_quarantine
+    def _retrial_after_s(self, summary):
+        doublings = summary.crashes - self._policy.crashes_to_quarantine
         return min(
             self._policy.retrial_s * 2.0 ** max(doublings, 0),
-            self._policy.retrial_longest_s,
+            self._policy.max_retrial_s,
         )
 
-    def _withholds_others(self, record, now_s):
-        """Return whether releases without a crash are withheld as well."""
-        crashed_more = len(record.releases) - 1
-        if not crashed_more:
+    def _withholds_other_releases(self, summary, now_s):
+        """Return whether releases that did not crash are withheld as well."""
+        further_releases = len(summary.releases) - 1
+        if not further_releases:
             return False
-        wait_s = self._policy.release_trial_s * 2.0 ** (crashed_more - 1)
-        return now_s - record.newest_s < wait_s
+        wait_s = self._policy.release_trial_s * 2.0 ** (further_releases - 1)
+        return now_s - summary.last_crash_s < wait_s
 
     def _begin_retrial(self, event, now_s):
-        """Return whether this call may try a quarantined request again."""
-        oldest_s = now_s - self._policy.retrial_timeout_s
+        """Return whether this call may retry a quarantined request."""
+        cutoff_s = now_s - self._policy.retrial_timeout_s
         self._retrials_by_fingerprint = {
             fingerprint: retrial
             for fingerprint, retrial in self._retrials_by_fingerprint.items()
-            if retrial.began_s > oldest_s
+            if retrial.started_s > cutoff_s
         }
         retrial = self._retrials_by_fingerprint.setdefault(
-            event.fingerprint, _Retrial(call_id=event.call_id, began_s=now_s)
+            event.fingerprint, _Retrial(call_id=event.call_id, started_s=now_s)
         )
         return retrial.call_id == event.call_id
 
-    def _note_success(self, fingerprint, release, now_s):
+    def _record_success(self, fingerprint, release, now_s):
         self._evidence.clear(fingerprint, release=release)
         key = (fingerprint, release)
         self._succeeded_s_by_key[key] = now_s
         self._succeeded_s_by_key.move_to_end(key)
-        self._forget_successes(now_s)
+        self._drop_old_successes(now_s)
 
-    def _forget_successes(self, now_s):
+    def _drop_old_successes(self, now_s):
         successes = self._succeeded_s_by_key
-        oldest_s = now_s - self._policy.success_memory_s
+        cutoff_s = now_s - self._policy.success_retention_s
         while successes:
             key, succeeded_s = next(iter(successes.items()))
             if len(successes) <= self._policy.success_limit:
-                if succeeded_s > oldest_s:
+                if succeeded_s > cutoff_s:
                     break
             del successes[key]
--- a/packages/savoryyoke/savoryyoke/quarantine/conf.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/conf.py
@@ -1,67 +1,75 @@
-"""Hold the defaults of the quarantine package."""
+"""Define the defaults of the quarantine package."""
 
 import dataclasses
 
 from savoryyoke.quarantine import exceptions
 
 FINGERPRINT_BYTES = 8
-# Fields that callers change from one try to the next.
+# Fields that callers may change between tries of the same request.
 IGNORED_FIELDS = frozenset(
     {'idempotency_key', 'metadata', 'request_id', 'stream', 'user'}
 )
 
-# A try that ended without an answer counts as part of a crash that is
-# noticed within this time. The users' targets are listed or reached again
-# two to four seconds after a crash.
-LOST_TRY_MEMORY_S = 5.0
-LOST_TRIES_LIMIT = 256
+# A try that ended without an answer counts as part of a crash that is detected
+# within this time. A crashed target is listed or reachable again after two to
+# four seconds.
+LOST_TRY_RETENTION_S = 5.0
+MAX_LOST_TRIES_PER_TARGET = 256
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class QuarantinePolicy:
-    """State when a request is quarantined and for how long.
+    """Configure when a request is quarantined and for how long.
 
-    ``crashes_to_quarantine`` counts distinct crashes that no other request
-    explains as well; a process that hears no other one takes
-    ``crashes_when_alone``. With ``crashes_in_any_case``, so many quarantine
-    it whatever else explains them: several such requests that run side by
-    side explain each other's crashes. Evidence expires ``evidence_s`` after
-    the crash and is not passed on in its last ``silent_s``. A success clears
-    a request of the crashes known then or heard of within
-    ``success_memory_s``.
+    A request is quarantined after ``crashes_to_quarantine`` distinct crashes
+    that cannot be attributed to another request as well. A process that
+    reaches no other process uses ``crashes_to_quarantine_without_peers``
+    instead. If ``total_crashes_to_quarantine`` is set, that many crashes are
+    enough even if they can be attributed to others: several fatal requests
+    that always run at the same time would otherwise hide each other. Evidence
+    expires ``evidence_s`` after the crash and is no longer shared during its
+    last ``silent_s``. A success clears a request of the crashes that are
+    recorded by then or reported within ``success_retention_s`` after it.
 
-    An entry tries a quarantined request once more ``retrial_s`` after its
-    last crash; each further crash doubles that time, up to
-    ``retrial_longest_s``. A retrial without an outcome blocks others for
-    ``retrial_timeout_s``. A crashed engine takes its group out for up to five
-    seconds: a retrial in ten minutes costs below one part in a hundred.
+    An entry retries a quarantined request ``retrial_s`` after its last crash.
+    Each further crash doubles that time, up to ``max_retrial_s``. A retrial
+    without a result blocks further ones for ``retrial_timeout_s``. A crashed
+    engine makes its group unavailable for up to five seconds, so one retrial
+    in ten minutes costs less than one percent of the capacity.
 
-    A request that has crashed a second release is tried on a further one
-    ``release_trial_s`` after its last crash, and doubly late for each more,
-    since some platforms give each start of a target a release of its own.
+    A request that has crashed two releases is tried on another release
+    ``release_trial_s`` after its last crash. Each further crashed release
+    doubles that time, since some platforms give every start of a target a
+    release of its own.
     """
 
     crashes_to_quarantine: int = 3
-    crashes_when_alone: int = 2
-    crashes_in_any_case: int | None = None
+    crashes_to_quarantine_without_peers: int = 2
+    total_crashes_to_quarantine: int | None = None
     evidence_s: float = 3600.0
     silent_s: float = 10.0
-    success_memory_s: float = 30.0
+    success_retention_s: float = 30.0
     crash_limit: int = 256
     success_limit: int = 4096
     retrial_s: float = 600.0
-    retrial_longest_s: float = 3000.0
+    max_retrial_s: float = 3000.0
     retrial_timeout_s: float = 60.0
     release_trial_s: float = 30.0
 
     def __post_init__(self):
-        if min(self.crashes_to_quarantine, self.crashes_when_alone) < 2:
+        if (
+            min(
+                self.crashes_to_quarantine,
+                self.crashes_to_quarantine_without_peers,
+            )
+            < 2
+        ):
             raise exceptions.InvalidPolicy(
                 'one crash cannot tell a request from its batch'
             )
 
 
-# Entries that call targets by themselves don't keep suspects apart. Callers
-# and entries together send a healthy request four times at most, and the
-# users' bound is six.
-ENTRY_POLICY = QuarantinePolicy(crashes_in_any_case=5)
+# Entries that call targets directly don't isolate suspects. Callers and
+# entries together send a healthy request at most four times, so it cannot
+# reach five crashes. The required upper bound is six.
+ENTRY_POLICY = QuarantinePolicy(total_crashes_to_quarantine=5)
--- a/packages/savoryyoke/savoryyoke/quarantine/decisions.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/decisions.py
@@ -7,16 +7,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """Let an entry route the call as usual."""
+    """Route the call as usual."""
 
     call_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Isolate:
-    """Let an entry route a suspect by ``isolation.rank_targets``.
+    """Route a suspect in the order of ``isolation.rank_targets``.
 
-    ``reports`` travel with the call.
+    ``reports`` are sent to the target together with the call.
     """
 
     call_id: str
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RefuseForGood:
-    """Refuse a call that did not run and should not be sent again."""
+    """Refuse a call that did not run and must not be sent again."""
 
     call_id: str
     fingerprint: bytes
@@ -34,10 +34,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Withhold:
-    """Send the request to no target that runs one of ``releases``.
+    """Don't send the request to targets that run one of ``releases``.
 
-    ``retry_after_s`` is the time until it may be tried there again, after
-    ``crashes``. With ``includes_others`` it goes to no other release either.
+    ``crashes`` is the number of its crashes, and ``retry_after_s`` the
+    seconds until it may be tried there again. If ``includes_others`` is true,
+    it must not be sent to any other release either.
     """
 
     fingerprint: bytes
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Run:
-    """Hand the call to the back end."""
+    """Send the call to the back end."""
 
     call_id: str
     suspect: bool
@@ -57,10 +58,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RefuseWhileIsolating:
-    """Refuse a suspect that did not run, as another one is running.
+    """Refuse a suspect that did not run because another one is running.
 
-    If it is the same request, the entry should wait for its outcome
-    and not try another target.
+    If ``same_request`` is true, the running suspect has the same content.
+    The entry should then wait for its result and not try another target.
     """
 
     call_id: str
@@ -69,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StopRun:
-    """Stop a run of a request that has been quarantined meanwhile."""
+    """Stop a running call whose request has been quarantined since."""
 
     call_id: str
 
@@ -78,7 +79,7 @@
 class ShareReports:
     """Attach reports to failed answers and to heartbeats.
 
-    ``urgent`` reports are worth a message of their own.
+    ``urgent`` reports should be sent immediately in a separate message.
     """
 
     reports: tuple[evidence.CrashReport, ...]
--- a/packages/savoryyoke/savoryyoke/quarantine/detection.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/detection.py
@@ -1,4 +1,4 @@
-"""Notice crashes of targets that an entry calls directly."""
+"""Detect crashes of targets that an entry calls directly."""
 
 import collections
 import dataclasses
@@ -18,26 +18,26 @@
 
 
 class CrashDetector:
-    """Own an entry's unanswered tries and tell which of them met a crash.
+    """Find out which unanswered tries of an entry were part of a crash.
 
-    A broken connection alone proves no crash: links break too, and targets
-    that fail may close connections. A target has crashed if it was listed
-    as in use and then refuses connections, or if it leaves the list without
-    having announced that it drains. A crash is known by the target's
-    incarnation, so that all entries give it the same id.
+    A broken connection is not sufficient: networks fail too, and a faulty
+    target may close connections. A target has crashed if it refuses
+    connections while it is listed and not draining, or if it disappears from
+    the list without draining first. The id of a crash is derived from the
+    target's incarnation, so that all entries use the same id.
     """
 
     def __init__(self, *, evidence_s):
         self._evidence_s = evidence_s
-        self._listed_by_id = {}
-        self._lost_by_incarnation = collections.defaultdict(
-            lambda: collections.deque(maxlen=conf.LOST_TRIES_LIMIT)
+        self._listed_targets_by_id = {}
+        self._lost_tries_by_incarnation = collections.defaultdict(
+            lambda: collections.deque(maxlen=conf.MAX_LOST_TRIES_PER_TARGET)
         )
 
     def apply(self, event, *, now_s):
-        """Take in an event and return the ``CrashReport`` that follow.
+        """Apply an event and return a tuple of resulting ``CrashReport``.
 
-        Raises UnknownEvent for other types.
+        Raises UnknownEvent for an unsupported event type.
         """
         return self._apply(event, now_s)
 
@@ -47,8 +47,10 @@
 
     @_apply.register
     def _(self, event: events.TryLost, now_s):
-        self._forget_old(now_s)
-        self._lost_by_incarnation[_identify(event.target)].append(
+        self._drop_old_tries(now_s)
+        self._lost_tries_by_incarnation[
+            _build_incarnation_key(event.target)
+        ].append(
             _LostTry(
                 fingerprint=event.fingerprint,
                 is_broken=event.is_broken,
@@ -59,52 +61,65 @@
 
     @_apply.register
     def _(self, event: events.ConnectionRefused, now_s):
-        self._forget_old(now_s)
-        listed = self._listed_by_id.get(event.target.target_id)
+        self._drop_old_tries(now_s)
+        listed_target = self._listed_targets_by_id.get(event.target.target_id)
         is_listed = (
-            listed is not None
-            and listed.incarnation == event.target.incarnation
+            listed_target is not None
+            and listed_target.incarnation == event.target.incarnation
         )
-        if not is_listed or listed.is_draining:
+        if not is_listed or listed_target.is_draining:
             return ()
-        lost = self._lost_by_incarnation.pop(_identify(listed), ())
-        return self._report(listed, lost)
+        lost_tries = self._lost_tries_by_incarnation.pop(
+            _build_incarnation_key(listed_target), ()
+        )
+        return self._build_reports(listed_target, lost_tries)
 
     @_apply.register
     def _(self, event: events.TargetsListed, now_s):
-        self._forget_old(now_s)
-        listed_by_id = {x.target_id: x for x in event.targets}
-        made = []
-        for target_id, before in self._listed_by_id.items():
-            after = listed_by_id.get(target_id)
-            if after is not None and after.incarnation == before.incarnation:
+        self._drop_old_tries(now_s)
+        targets_by_id = {target.target_id: target for target in event.targets}
+        reports = []
+        for target_id, old_target in self._listed_targets_by_id.items():
+            new_target = targets_by_id.get(target_id)
+            if (
+                new_target is not None
+                and new_target.incarnation == old_target.incarnation
+            ):
                 continue
-            lost = self._lost_by_incarnation.pop(_identify(before), ())
-            if not before.is_draining:
-                broken = [x for x in lost if x.is_broken]
-                made.extend(self._report(before, broken))
-        self._listed_by_id = listed_by_id
-        return tuple(made)
-
-    def _report(self, target, lost):
-        if not lost:
+            lost_tries = self._lost_tries_by_incarnation.pop(
+                _build_incarnation_key(old_target), ()
+            )
+            if not old_target.is_draining:
+                broken_tries = [
+                    lost_try for lost_try in lost_tries if lost_try.is_broken
+                ]
+                reports.extend(self._build_reports(old_target, broken_tries))
+        self._listed_targets_by_id = targets_by_id
+        return tuple(reports)
+
+    def _build_reports(self, target, lost_tries):
+        if not lost_tries:
             return ()
         report = evidence.CrashReport(
             crash_id=f'{target.target_id}/{target.incarnation}',
-            fingerprints=frozenset(x.fingerprint for x in lost),
+            fingerprints=frozenset(
+                lost_try.fingerprint for lost_try in lost_tries
+            ),
             remaining_s=self._evidence_s,
             release=target.release,
         )
         return (report,)
 
-    def _forget_old(self, now_s):
-        oldest_s = now_s - conf.LOST_TRY_MEMORY_S
-        for incarnation, lost in list(self._lost_by_incarnation.items()):
-            while lost and lost[0].lost_s < oldest_s:
-                lost.popleft()
-            if not lost:
-                del self._lost_by_incarnation[incarnation]
+    def _drop_old_tries(self, now_s):
+        cutoff_s = now_s - conf.LOST_TRY_RETENTION_S
+        for incarnation, lost_tries in list(
+            self._lost_tries_by_incarnation.items()
+        ):
+            while lost_tries and lost_tries[0].lost_s < cutoff_s:
+                lost_tries.popleft()
+            if not lost_tries:
+                del self._lost_tries_by_incarnation[incarnation]
 
 
-def _identify(target):
+def _build_incarnation_key(target):
     return (target.target_id, target.incarnation)
--- a/packages/savoryyoke/savoryyoke/quarantine/events.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/events.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SendOffered:
-    """Report a call that an entry is about to send to a target itself."""
+    """Report a call that an entry is about to send to a target directly."""
 
     call_id: str
     fingerprint: bytes
@@ -23,9 +23,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallSucceeded:
-    """Report at an entry that a back end answered a call in full.
+    """Report at an entry that a back end answered a call completely.
 
-    ``release`` is what the back end ran.
+    ``release`` is the release that the back end runs.
     """
 
     fingerprint: bytes
@@ -34,16 +34,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PeersHeard:
-    """Report how many other processes with evidence are heard."""
+    """Report how many other processes exchange evidence with this one."""
 
     count: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RunRequested:
-    """Report at a target a call that admission is about to start.
+    """Report at a target a call that is about to start.
 
-    ``reports`` is what the entry sent along with a suspect.
+    ``reports`` are the crash reports that the entry sent with a suspect.
     """
 
     call_id: str
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RunEnded:
-    """Report at a target that a run is over, without a crash."""
+    """Report at a target that a call has ended without a crash."""
 
     call_id: str
     succeeded: bool
@@ -61,10 +61,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BackendCrashed:
-    """Report at a target that its back end died under its calls.
+    """Report at a target that its back end crashed while running calls.
 
-    ``crash_id`` is unique over the fleet and all time. A stop that was
-    ordered, or a loss of the whole VM, is no crash of this kind.
+    ``crash_id`` is globally unique and never reused. An intended stop or the
+    loss of the whole VM must not be reported.
     """
 
     crash_id: str
@@ -72,16 +72,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReportsReceived:
-    """Report what another process knows."""
+    """Report the evidence of another process."""
 
     reports: tuple[evidence.CrashReport, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HeartbeatDue:
-    """Report that a heartbeat has room for ``report_limit`` reports.
+    """Report that a heartbeat can carry ``report_limit`` crash reports.
 
-    Each may hold ``digests_per_report`` requests; None: any number.
+    Each report may list up to ``digests_per_report`` requests, or any number
+    if it is None.
     """
 
     report_limit: int
@@ -90,10 +91,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TryLost:
-    """Report at an entry a try that a target did not answer in full.
+    """Report at an entry a try that a target did not answer completely.
 
-    ``target`` is a ``placement.models.Target``. ``is_broken`` is false where
-    the caller left before the target answered or fell silent.
+    ``target`` is a ``placement.models.Target``. ``is_broken`` is false if
+    the caller gave up before the target had answered or failed.
     """
 
     target: object
@@ -103,13 +104,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ConnectionRefused:
-    """Report that nothing listens at a target's address."""
+    """Report that a target refused a connection."""
 
     target: object
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetsListed:
-    """Report all targets that are published."""
+    """Report the complete list of published targets."""
 
     targets: tuple
--- a/packages/savoryyoke/savoryyoke/quarantine/evidence.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/evidence.py
@@ -1,4 +1,4 @@
-"""Merge what processes know of crashes and derive the status of requests."""
+"""Merge crash reports of processes and derive the status of requests."""
 
 import collections
 import dataclasses
@@ -8,7 +8,7 @@
 
 
 class Status(enum.Enum):
-    """Say whether a request is suspected."""
+    """List the states of a request."""
 
     CLEAR = 'clear'
     SUSPECT = 'suspect'
@@ -19,9 +19,9 @@
 class CrashReport:
     """Describe one crash of one back end for other processes.
 
-    ``fingerprints`` were in flight; those in ``cleared`` have succeeded
-    since. ``remaining_s`` is how long the evidence is still kept and
-    ``release`` the version of what the back end ran.
+    ``fingerprints`` are the requests that were running, and ``cleared`` those
+    of them that have succeeded since. The evidence expires after
+    ``remaining_s``. ``release`` is the release that the back end ran.
     """
 
     crash_id: str
@@ -32,16 +32,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Record:
-    """Sum up the crashes that a request may have caused.
+class CrashSummary:
+    """Summarise the crashes that a request may have caused.
 
-    ``releases`` are those it crashed; ``newest_s`` is when the last of its
-    ``crashes`` happened.
+    ``releases`` are the releases that crashed, ``crashes`` is the number of
+    crashes and ``last_crash_s`` the time of the last one.
     """
 
     releases: frozenset[str]
     crashes: int
-    newest_s: float
+    last_crash_s: float
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -58,7 +58,7 @@
         return self.fingerprints - self.cleared
 
     def count_parts(self, digests_per_report):
-        """Return how many reports of limited size describe the crash."""
+        """Return how many reports of limited size the crash needs."""
         if digests_per_report is None:
             return 1
         digests = len(self.fingerprints | self.cleared)
@@ -66,10 +66,10 @@
 
 
 class Evidence:
-    """Hold crashes; merging is commutative, associative and idempotent.
+    """Store crashes; merging is commutative, associative and idempotent.
 
-    Sets grow by union and the earlier expiry wins, so that the order and
-    number of messages make no difference.
+    Sets are merged by union and the earlier expiry is used, so the order and
+    repetition of messages make no difference.
     """
 
     def __init__(self, *, policy):
@@ -77,30 +77,30 @@
         self._crashes_by_id = {}
         self._crash_ids_by_fingerprint = collections.defaultdict(set)
         self._crashes_to_quarantine = policy.crashes_to_quarantine
-        self._forget_derived()
+        self._clear_caches()
 
     def set_threshold(self, crashes_to_quarantine):
-        """Change how many crashes quarantine a request."""
+        """Set how many crashes quarantine a request."""
         if crashes_to_quarantine != self._crashes_to_quarantine:
             self._crashes_to_quarantine = crashes_to_quarantine
-            self._forget_derived()
+            self._clear_caches()
 
     def merge(self, report, *, now_s):
-        """Take in a report; return whether it told anything new."""
+        """Merge a report; return whether it contained anything new."""
         if report.remaining_s <= 0:
             return False
         expires_s = now_s + min(report.remaining_s, self._policy.evidence_s)
         crash = self._crashes_by_id.get(report.crash_id)
         if crash is None:
-            crash = self._add(report.crash_id, expires_s)
+            crash = self._add_crash(report.crash_id, expires_s)
         if crash is None:
             return False
         fingerprints = crash.fingerprints | report.fingerprints
         cleared = crash.cleared | report.cleared
         release = max(crash.release, report.release)
         crash.expires_s = min(crash.expires_s, expires_s)
-        known = (crash.fingerprints, crash.cleared, crash.release)
-        if (fingerprints, cleared, release) == known:
+        old_state = (crash.fingerprints, crash.cleared, crash.release)
+        if (fingerprints, cleared, release) == old_state:
             return False
         crash.fingerprints = fingerprints
         crash.cleared = cleared
@@ -108,16 +108,16 @@
         for fingerprint in report.fingerprints:
             crash_ids = self._crash_ids_by_fingerprint[fingerprint]
             crash_ids.add(report.crash_id)
-        self._note_change(crash)
+        self._reset_after_change(crash)
         return True
 
     def clear(self, fingerprint, *, release=''):
-        """Clear a request of all crashes of a release known now."""
+        """Clear a request of all recorded crashes of a release."""
         for crash_id in self._crash_ids_by_fingerprint.get(fingerprint, ()):
             crash = self._crashes_by_id[crash_id]
             if fingerprint not in crash.cleared and crash.release == release:
                 crash.cleared |= {fingerprint}
-                self._note_change(crash)
+                self._reset_after_change(crash)
 
     def status(self, fingerprint):
         """Return the status of a request."""
@@ -127,23 +127,23 @@
             self._status_by_fingerprint = _assess(
                 [crash.suspects for crash in self._crashes_by_id.values()],
                 self._crashes_to_quarantine,
-                self._policy.crashes_in_any_case,
+                self._policy.total_crashes_to_quarantine,
             )
         return self._status_by_fingerprint.get(fingerprint, Status.CLEAR)
 
     def record(self, fingerprint):
-        """Return the ``Record`` of a request, or None without crashes."""
+        """Return the summary for a request, or None without crashes."""
         crashes = [
             self._crashes_by_id[crash_id]
             for crash_id in self._crash_ids_by_fingerprint.get(fingerprint, ())
         ]
-        crashes = [x for x in crashes if fingerprint in x.suspects]
+        crashes = [crash for crash in crashes if fingerprint in crash.suspects]
         if not crashes:
             return None
-        return Record(
-            releases=frozenset(x.release for x in crashes),
+        return CrashSummary(
+            releases=frozenset(crash.release for crash in crashes),
             crashes=len(crashes),
-            newest_s=max(x.expires_s for x in crashes)
+            last_crash_s=max(crash.expires_s for crash in crashes)
             - self._policy.evidence_s,
         )
 
@@ -158,32 +158,32 @@
         return self._quarantined
 
     def digest(self, *, now_s):
-        """Return a number that equal evidence has in common."""
-        shared = frozenset(
+        """Return a 64-bit hash, which is the same for equal evidence."""
+        shared_ids = frozenset(
             crash_id
             for crash_id, crash in self._crashes_by_id.items()
             if self._is_shared(crash, now_s)
         )
-        if self._digest is None or self._digest[0] != shared:
-            self._digest = (shared, self._compute_digest(shared))
+        if self._digest is None or self._digest[0] != shared_ids:
+            self._digest = (shared_ids, self._compute_digest(shared_ids))
         return self._digest[1]
 
     def reports_about(self, fingerprint, *, now_s):
-        """Return the crashes that a request was part of."""
+        """Return reports of the crashes in which a request was running."""
         crash_ids = self._crash_ids_by_fingerprint.get(fingerprint, ())
         return tuple(
             self._report(crash_id, now_s) for crash_id in sorted(crash_ids)
         )
 
     def next_reports(self, *, count, now_s, digests_per_report=None):
-        """Return the reports that were passed on least often.
+        """Return up to ``count`` reports that were sent least often.
 
-        News goes first; later all crashes take turns, so that processes
-        which start or were cut off catch up. A crash with more than
-        ``digests_per_report`` requests is told in several reports; what does
-        not fit is told next time.
+        New reports come first. After that all crashes are sent in rotation,
+        so that processes which have started or were disconnected receive
+        them. A crash with more than ``digests_per_report`` requests is split
+        into several reports; those beyond ``count`` are sent next time.
         """
-        lively = sorted(
+        shared_crashes = sorted(
             (
                 crash.parts_sent // crash.count_parts(digests_per_report),
                 crash_id,
@@ -191,34 +191,34 @@
             for crash_id, crash in self._crashes_by_id.items()
             if self._is_shared(crash, now_s)
         )
-        made = []
-        for _, crash_id in lively:
+        reports = []
+        for _, crash_id in shared_crashes:
             crash = self._crashes_by_id[crash_id]
             parts = crash.count_parts(digests_per_report)
-            left = parts - crash.parts_sent % parts
-            for _ in range(min(left, count - len(made))):
-                made.append(
+            remaining_parts = parts - crash.parts_sent % parts
+            for _ in range(min(remaining_parts, count - len(reports))):
+                reports.append(
                     self._report_part(crash_id, now_s, digests_per_report)
                 )
                 crash.parts_sent += 1
-        return tuple(made)
+        return tuple(reports)
 
     def forget_expired(self, *, now_s):
-        """Drop the crashes whose time is over."""
+        """Remove the crashes that have expired."""
         for crash_id, crash in list(self._crashes_by_id.items()):
             if crash.expires_s <= now_s:
-                self._drop(crash_id)
+                self._remove_crash(crash_id)
 
-    def _add(self, crash_id, expires_s):
-        """Return a new crash; None if it is older than all that fit."""
+    def _add_crash(self, crash_id, expires_s):
+        """Add a crash; return None if all of the stored ones are newer."""
         if len(self._crashes_by_id) >= self._policy.crash_limit:
-            known_s, oldest_id = min(
-                (crash.expires_s, known_id)
-                for known_id, crash in self._crashes_by_id.items()
+            oldest_expires_s, oldest_id = min(
+                (crash.expires_s, other_id)
+                for other_id, crash in self._crashes_by_id.items()
             )
-            if (expires_s, crash_id) < (known_s, oldest_id):
+            if (expires_s, crash_id) < (oldest_expires_s, oldest_id):
                 return None
-            self._drop(oldest_id)
+            self._remove_crash(oldest_id)
         crash = _Crash(
             fingerprints=frozenset(),
             cleared=frozenset(),
@@ -228,20 +228,20 @@
         self._crashes_by_id[crash_id] = crash
         return crash
 
-    def _drop(self, crash_id):
+    def _remove_crash(self, crash_id):
         crash = self._crashes_by_id.pop(crash_id)
         for fingerprint in crash.fingerprints:
             crash_ids = self._crash_ids_by_fingerprint[fingerprint]
             crash_ids.discard(crash_id)
             if not crash_ids:
                 del self._crash_ids_by_fingerprint[fingerprint]
-        self._forget_derived()
+        self._clear_caches()
 
-    def _note_change(self, crash):
+    def _reset_after_change(self, crash):
         crash.parts_sent = 0
-        self._forget_derived()
+        self._clear_caches()
 
-    def _forget_derived(self):
+    def _clear_caches(self):
         self._status_by_fingerprint = None
         self._quarantined = None
         self._digest = None
@@ -264,7 +264,7 @@
         return int.from_bytes(digest.digest(), 'big')
 
     def _report_part(self, crash_id, now_s, digests_per_report):
-        """Return the report of a crash that is next, with limited size."""
+        """Return the next report of a crash, with limited size."""
         report = self._report(crash_id, now_s)
         if digests_per_report is None:
             return report
@@ -291,19 +291,23 @@
 
 
 def _assess(
-    suspects_by_crash, crashes_to_quarantine, crashes_in_any_case=None
+    suspects_by_crash, crashes_to_quarantine, total_crashes_to_quarantine=None
 ):
-    """Return the status of each suspect.
+    """Return the status of each suspect by its fingerprint.
 
-    A crash is attributed to the one request that took part in more crashes
-    than any other of the batch. Crashes with a quarantined request are
-    explained and are set aside before assessing the rest.
+    A crash is attributed to the request that was running in more crashes
+    than any other request of this crash. Crashes with a quarantined request
+    count as explained and are removed before the others are assessed.
     """
     statuses = {}
     unexplained = [suspects for suspects in suspects_by_crash if suspects]
-    if crashes_in_any_case is not None:
+    if total_crashes_to_quarantine is not None:
         counts = _count_crashes(unexplained)
-        poison = {f for f, n in counts.items() if n >= crashes_in_any_case}
+        poison = {
+            fingerprint
+            for fingerprint, count in counts.items()
+            if count >= total_crashes_to_quarantine
+        }
     else:
         poison = set()
     while True:
@@ -322,15 +326,19 @@
 
 def _find_poison(unexplained, crashes_to_quarantine):
     crashes = _count_crashes(unexplained)
-    against = collections.Counter()
+    attributed_crashes = collections.Counter()
     for suspects in unexplained:
-        most = max(crashes[fingerprint] for fingerprint in suspects)
-        likeliest = [f for f in suspects if crashes[f] == most]
-        if len(likeliest) == 1:
-            against[likeliest[0]] += 1
+        max_crashes = max(crashes[fingerprint] for fingerprint in suspects)
+        candidates = [
+            fingerprint
+            for fingerprint in suspects
+            if crashes[fingerprint] == max_crashes
+        ]
+        if len(candidates) == 1:
+            attributed_crashes[candidates[0]] += 1
     return {
         fingerprint
-        for fingerprint, count in against.items()
+        for fingerprint, count in attributed_crashes.items()
         if count >= crashes_to_quarantine
     }
 
--- a/packages/savoryyoke/savoryyoke/quarantine/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/exceptions.py
@@ -10,4 +10,4 @@
 
 
 class InvalidPolicy(QuarantineError):
-    """Report a policy that would quarantine without evidence."""
+    """Report a policy that would quarantine after a single crash."""
--- a/packages/savoryyoke/savoryyoke/quarantine/fingerprints.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/fingerprints.py
@@ -1,4 +1,4 @@
-"""Identify a request by its content, not by its key."""
+"""Identify a request by its content, not by its idempotency key."""
 
 import hashlib
 import json
@@ -8,11 +8,11 @@
 
 
 def compute_fingerprint(*, service, body, ignored_fields=conf.IGNORED_FIELDS):
-    """Return the digest of a request's normalized content.
+    """Return the digest of a request's normalised content, 8 bytes.
 
-    Two JSON bodies that differ only in spacing, order of fields, Unicode
-    form or in ``ignored_fields`` of the outermost object have the same
-    fingerprint; any other body counts byte by byte.
+    JSON bodies that differ only in white space, order of fields, Unicode
+    normalisation or ``ignored_fields`` of the outermost object have the same
+    fingerprint. Other bodies are hashed without changes.
     """
     digest = hashlib.blake2b(digest_size=conf.FINGERPRINT_BYTES)
     digest.update(service.encode())
@@ -22,11 +22,11 @@
 
 
 def compute_content_digest(*, service, caller, method, target, body):
-    """Return the digest of a request as an HTTP caller sent it.
+    """Return the digest of an HTTP request as it was received, 8 bytes.
 
-    ``target`` is the path with its query; ``caller`` names the team, or is
-    empty. Headers are left out, since callers change some of them with each
-    attempt; the body counts byte by byte.
+    ``target`` is the path with the query, and ``caller`` the name of the
+    team, or empty. Headers are excluded, since callers change some of them
+    with each attempt. The body is hashed without changes.
     """
     digest = hashlib.blake2b(digest_size=conf.FINGERPRINT_BYTES)
     for part in (service.encode(), caller.encode(), method, target, body):
@@ -49,5 +49,5 @@
         )
     except (ValueError, RecursionError):
         return body
-    normal = unicodedata.normalize('NFC', text)
-    return normal.encode('utf-8', 'surrogatepass')
+    normalized = unicodedata.normalize('NFC', text)
+    return normalized.encode('utf-8', 'surrogatepass')
--- a/packages/savoryyoke/savoryyoke/quarantine/isolation.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/isolation.py
@@ -1,13 +1,13 @@
-"""Choose where a suspect request runs."""
+"""Choose the targets on which a suspect request runs."""
 
 import xxhash
 
 
 def rank_targets(*, fingerprint, target_ids):
-    """Return the targets in the order in which a suspect tries them.
+    """Return the ids of targets in the order in which to try a suspect.
 
-    Each entry finds the same order, so that the same request meets
-    itself on one target instead of crashing several side by side.
+    All entries compute the same order, so that copies of the same request are
+    sent to one target and do not crash several targets at once.
     """
     return tuple(
         sorted(
--- a/packages/savoryyoke/tests/quarantine/test_detection.py
+++ b/packages/savoryyoke/tests/quarantine/test_detection.py
@@ -20,84 +20,86 @@
     is_draining=False,
     is_in_service=True,
 )
-REFUSED = events.ConnectionRefused(target=TARGET)
+CONNECTION_REFUSED = events.ConnectionRefused(target=TARGET)
 
 
 class CrashDetectorTests(unittest.TestCase):
     def setUp(self):
         self.detector = detection.CrashDetector(evidence_s=3600.0)
-        self.list(TARGET)
+        self.publish_targets(TARGET)
 
     def apply(self, event, *, now_s=0.0):
-        """Return the contents that each found crash names."""
+        """Return the sorted fingerprints of each detected crash."""
         return [
             sorted(report.fingerprints)
             for report in self.detector.apply(event, now_s=now_s)
         ]
 
-    def lose(self, fingerprint, *, is_broken=True, now_s=0.0):
+    def report_lost_try(self, fingerprint, *, is_broken=True, now_s=0.0):
         """Report a try without an answer."""
         event = events.TryLost(
             target=TARGET, fingerprint=fingerprint, is_broken=is_broken
         )
         self.assertEqual([], self.apply(event, now_s=now_s))
 
-    def list(self, *targets, now_s=0.0):
-        """Publish the targets; return the contents of found crashes."""
+    def publish_targets(self, *targets, now_s=0.0):
+        """Publish targets; return the fingerprints of detected crashes."""
         return self.apply(events.TargetsListed(targets=targets), now_s=now_s)
 
     def test_refused_connection_after_broken_tries_is_a_crash(self):
-        self.lose(b'a')
-        self.lose(b'b')
-        self.assertEqual([[b'a', b'b']], self.apply(REFUSED))
-        self.assertEqual([], self.apply(REFUSED))
-
-    def test_all_entries_name_a_crash_alike(self):
-        self.lose(b'a')
-        (report,) = self.detector.apply(REFUSED, now_s=0.0)
+        self.report_lost_try(b'a')
+        self.report_lost_try(b'b')
+        self.assertEqual([[b'a', b'b']], self.apply(CONNECTION_REFUSED))
+        self.assertEqual([], self.apply(CONNECTION_REFUSED))
+
+    def test_crash_id_is_derived_from_the_target(self):
+        self.report_lost_try(b'a')
+        (report,) = self.detector.apply(CONNECTION_REFUSED, now_s=0.0)
         self.assertEqual('t/1', report.crash_id)
 
-    def test_broken_tries_alone_prove_no_crash(self):
-        self.lose(b'a')
-        self.assertEqual([], self.list(TARGET))
+    def test_broken_tries_alone_are_no_crash(self):
+        self.report_lost_try(b'a')
+        self.assertEqual([], self.publish_targets(TARGET))
 
-    def test_refused_connection_without_tries_names_nothing(self):
-        self.assertEqual([], self.apply(REFUSED))
+    def test_refused_connection_without_tries_is_not_reported(self):
+        self.assertEqual([], self.apply(CONNECTION_REFUSED))
 
     def test_try_that_was_given_up_before_the_crash_counts(self):
-        self.lose(b'a', is_broken=False)
-        self.assertEqual([[b'a']], self.apply(REFUSED, now_s=0.2))
+        self.report_lost_try(b'a', is_broken=False)
+        self.assertEqual([[b'a']], self.apply(CONNECTION_REFUSED, now_s=0.2))
 
     def test_old_tries_do_not_count(self):
-        self.lose(b'a')
-        self.lose(b'b', now_s=2.0)
-        now_s = 1.0 + conf.LOST_TRY_MEMORY_S
-        self.assertEqual([[b'b']], self.apply(REFUSED, now_s=now_s))
-
-    def test_target_that_announced_its_stop_does_not_crash(self):
-        self.list(dataclasses.replace(TARGET, is_draining=True))
-        self.lose(b'a')
-        self.assertEqual([], self.apply(REFUSED))
-        self.assertEqual([], self.list())
-
-    def test_target_that_has_left_the_list_does_not_crash(self):
-        self.list()
-        self.lose(b'a')
-        self.assertEqual([], self.apply(REFUSED))
-
-    def test_lapsed_target_that_broke_tries_has_crashed(self):
-        self.lose(b'a')
-        self.lose(b'b', is_broken=False)
-        self.assertEqual([[b'a']], self.list(now_s=2.6))
+        self.report_lost_try(b'a')
+        self.report_lost_try(b'b', now_s=2.0)
+        now_s = 1.0 + conf.LOST_TRY_RETENTION_S
+        self.assertEqual([[b'b']], self.apply(CONNECTION_REFUSED, now_s=now_s))
+
+    def test_draining_target_does_not_crash(self):
+        self.publish_targets(dataclasses.replace(TARGET, is_draining=True))
+        self.report_lost_try(b'a')
+        self.assertEqual([], self.apply(CONNECTION_REFUSED))
+        self.assertEqual([], self.publish_targets())
+
+    def test_target_removed_from_the_list_does_not_crash(self):
+        self.publish_targets()
+        self.report_lost_try(b'a')
+        self.assertEqual([], self.apply(CONNECTION_REFUSED))
+
+    def test_target_that_disappears_after_broken_tries_has_crashed(self):
+        self.report_lost_try(b'a')
+        self.report_lost_try(b'b', is_broken=False)
+        self.assertEqual([[b'a']], self.publish_targets(now_s=2.6))
 
     def test_restart_under_the_same_id_is_a_crash(self):
-        self.lose(b'a')
+        self.report_lost_try(b'a')
         restarted = dataclasses.replace(TARGET, incarnation=2)
-        self.assertEqual([[b'a']], self.list(restarted))
-        self.assertEqual([], self.apply(REFUSED))
-
-    def test_lost_tries_are_bounded(self):
-        for number in range(2 * conf.LOST_TRIES_LIMIT):
-            self.lose(b'%d' % number)
-        (contents,) = self.apply(REFUSED)
-        self.assertEqual(conf.LOST_TRIES_LIMIT, len(contents))
+        self.assertEqual([[b'a']], self.publish_targets(restarted))
+        self.assertEqual([], self.apply(CONNECTION_REFUSED))
+
+    def test_number_of_lost_tries_is_limited(self):
+        for number in range(2 * conf.MAX_LOST_TRIES_PER_TARGET):
+            self.report_lost_try(b'%d' % number)
+        (crash_fingerprints,) = self.apply(CONNECTION_REFUSED)
+        self.assertEqual(
+            conf.MAX_LOST_TRIES_PER_TARGET, len(crash_fingerprints)
+        )
--- a/packages/savoryyoke/tests/quarantine/test_evidence.py
+++ b/packages/savoryyoke/tests/quarantine/test_evidence.py
@@ -1,4 +1,4 @@
-"""Test that evidence merges in any order and spares healthy requests."""
+"""Test that evidence merges in any order and clears healthy requests."""
 
 import collections
 import itertools
@@ -24,7 +24,7 @@
 )
 
 
-def _report(crash_id, *fingerprints, cleared=(), remaining_s=3600.0):
+def _build_report(crash_id, *fingerprints, cleared=(), remaining_s=3600.0):
     return evidence.CrashReport(
         crash_id=crash_id,
         fingerprints=frozenset(fingerprints),
@@ -34,7 +34,7 @@
 
 
 class _LastReportWins(evidence.Evidence):
-    """Mutant: takes the newest set of cleared requests."""
+    """Mutant: uses the cleared requests of the last report only."""
 
     def merge(self, report, *, now_s):
         changed = super().merge(report, now_s=now_s)
@@ -44,7 +44,7 @@
 
 
 class _LaterExpiryWins(evidence.Evidence):
-    """Mutant: prolongs evidence with each message about it."""
+    """Mutant: extends the expiry with each message."""
 
     def merge(self, report, *, now_s):
         changed = super().merge(report, now_s=now_s)
@@ -53,9 +53,11 @@
         return changed
 
 
-def _blame_all(unexplained, crashes_to_quarantine):
-    """Naive version: quarantines whatever was there often enough."""
-    fingerprints = [f for suspects in unexplained for f in suspects]
+def _quarantine_frequent_requests(unexplained, crashes_to_quarantine):
+    """Naive version: counts each crash for all of its requests."""
+    fingerprints = [
+        fingerprint for suspects in unexplained for fingerprint in suspects
+    ]
     return {
         fingerprint
         for fingerprint in fingerprints
@@ -63,24 +65,24 @@
     }
 
 
-def _state(evidence_class, reports):
-    known = evidence_class(policy=_POLICY)
+def _merge_reports(evidence_class, reports):
+    merged_evidence = evidence_class(policy=_POLICY)
     for report in reports:
-        known.merge(report, now_s=0.0)
-    statuses = {name: known.status(name) for name in _HEALTHY}
-    everything = known.next_reports(count=99, now_s=0.0)
-    return statuses, sorted(everything, key=lambda report: report.crash_id)
+        merged_evidence.merge(report, now_s=0.0)
+    statuses = {name: merged_evidence.status(name) for name in _HEALTHY}
+    merged_reports = merged_evidence.next_reports(count=99, now_s=0.0)
+    return statuses, sorted(merged_reports, key=lambda report: report.crash_id)
 
 
 def _check_order(evidence_class, reports):
-    expected = _state(evidence_class, reports)
-    for order in itertools.permutations(reports):
-        assert _state(evidence_class, order) == expected
-    assert _state(evidence_class, reports + reports[:1]) == expected
+    expected = _merge_reports(evidence_class, reports)
+    for reordered in itertools.permutations(reports):
+        assert _merge_reports(evidence_class, reordered) == expected
+    assert _merge_reports(evidence_class, reports + reports[:1]) == expected
 
 
 class MergeTest(unittest.TestCase):
-    """Check that order and number of messages make no difference."""
+    """Check that order and repetition of messages make no difference."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
     @hypothesis.given(
@@ -91,55 +93,72 @@
 
     def test_mutants_are_caught(self):
         reports = [
-            _report('one', b'a', cleared=[b'a'], remaining_s=50.0),
-            _report('one', b'a', remaining_s=60.0),
+            _build_report('one', b'a', cleared=[b'a'], remaining_s=50.0),
+            _build_report('one', b'a', remaining_s=60.0),
         ]
         for mutant in (_LastReportWins, _LaterExpiryWins):
             with self.assertRaises(AssertionError, msg=mutant.__name__):
                 _check_order(mutant, reports)
 
-    def test_evidence_is_bounded_and_expires_everywhere(self):
-        self.assertEqual(0, self._crashes_left(silent_s=10.0))
-        # Mutant: messages on their way revive what has expired.
-        self.assertGreater(self._crashes_left(silent_s=0.0), 0)
+    def test_evidence_is_limited_and_expires_in_all_processes(self):
+        self.assertEqual(0, self._count_unexpired_crashes(silent_s=10.0))
+        # Mutant: delayed messages restore expired evidence.
+        self.assertGreater(self._count_unexpired_crashes(silent_s=0.0), 0)
 
-    def _crashes_left(self, *, silent_s):
-        """Gossip with delays of 5 s until long after the expiry."""
+    def _count_unexpired_crashes(self, *, silent_s):
+        """Return the number of crashes long after their expiry.
+
+        Two processes exchange reports with a delay of 5 s.
+        """
         policy = conf.QuarantinePolicy(crash_limit=5, silent_s=silent_s)
-        one, other = (evidence.Evidence(policy=policy) for _ in range(2))
+        first_process, second_process = (
+            evidence.Evidence(policy=policy) for _ in range(2)
+        )
         for number in range(20):
-            report = _report(f'{number}', b'a', remaining_s=100.0 + number)
-            one.merge(report, now_s=0.0)
-        on_their_way = collections.deque([()] * 5)
+            report = _build_report(
+                f'{number}', b'a', remaining_s=100.0 + number
+            )
+            first_process.merge(report, now_s=0.0)
+        messages_in_transit = collections.deque([()] * 5)
         for second in range(300):
             now_s = float(second)
-            one.forget_expired(now_s=now_s)
-            other.forget_expired(now_s=now_s)
-            for receiver, report in on_their_way.popleft():
+            first_process.forget_expired(now_s=now_s)
+            second_process.forget_expired(now_s=now_s)
+            for receiver, report in messages_in_transit.popleft():
                 receiver.merge(report, now_s=now_s)
-            self.assertLessEqual(len(one._crashes_by_id), 5)
-            on_their_way.append(
+            self.assertLessEqual(len(first_process._crashes_by_id), 5)
+            messages_in_transit.append(
                 [
                     (receiver, report)
-                    for sender, receiver in ((one, other), (other, one))
+                    for sender, receiver in (
+                        (first_process, second_process),
+                        (second_process, first_process),
+                    )
                     for report in sender.next_reports(count=9, now_s=now_s)
                 ]
             )
         self.assertEqual(
-            bool(one._crashes_by_id), bool(one._crash_ids_by_fingerprint)
+            bool(first_process._crashes_by_id),
+            bool(first_process._crash_ids_by_fingerprint),
+        )
+        return len(first_process._crashes_by_id) + len(
+            second_process._crashes_by_id
         )
-        return len(one._crashes_by_id) + len(other._crashes_by_id)
 
 
-def _check_healthy_spared(batches, cleared):
-    known = evidence.Evidence(policy=_POLICY)
+def _check_healthy_not_quarantined(batches, cleared):
+    merged_evidence = evidence.Evidence(policy=_POLICY)
     for number, batch in enumerate(batches):
-        known.merge(_report(f'{number}', _POISON, *batch), now_s=0.0)
+        merged_evidence.merge(
+            _build_report(f'{number}', _POISON, *batch), now_s=0.0
+        )
         for name in _HEALTHY:
-            assert known.status(name) is not evidence.Status.QUARANTINED
+            assert (
+                merged_evidence.status(name) is not evidence.Status.QUARANTINED
+            )
         for name in cleared:
-            known.clear(name)
-    return known
+            merged_evidence.clear(name)
+    return merged_evidence
 
 
 class StatusTest(unittest.TestCase):
@@ -151,27 +170,34 @@
         cleared=_BATCHES,
     )
     def test_only_the_poison_request_is_quarantined(self, batches, cleared):
-        known = _check_healthy_spared(batches, cleared)
+        merged_evidence = _check_healthy_not_quarantined(batches, cleared)
         common = set.intersection(*batches) - cleared
         if not common:
             return
-        # What was in each crash is not told apart until it succeeds.
-        self.assertIs(evidence.Status.SUSPECT, known.status(_POISON))
+        # Requests that were in every crash cannot be distinguished until
+        # they succeed.
+        self.assertIs(evidence.Status.SUSPECT, merged_evidence.status(_POISON))
         for name in common:
-            known.clear(name)
-        self.assertIs(evidence.Status.QUARANTINED, known.status(_POISON))
+            merged_evidence.clear(name)
+        self.assertIs(
+            evidence.Status.QUARANTINED, merged_evidence.status(_POISON)
+        )
 
     def test_naive_version_is_caught(self):
         batch = set(_HEALTHY[:3])
-        with unittest.mock.patch.object(evidence, '_find_poison', _blame_all):
+        with unittest.mock.patch.object(
+            evidence, '_find_poison', _quarantine_frequent_requests
+        ):
             with self.assertRaises(AssertionError):
-                _check_healthy_spared([batch, batch], set())
+                _check_healthy_not_quarantined([batch, batch], set())
 
     def test_explained_crash_clears_its_batch(self):
-        known = evidence.Evidence(policy=_POLICY)
-        known.merge(_report('one', _POISON, b'a'), now_s=0.0)
-        self.assertIs(evidence.Status.SUSPECT, known.status(b'a'))
-        known.merge(_report('two', _POISON, b'b'), now_s=0.0)
-        self.assertIs(evidence.Status.QUARANTINED, known.status(_POISON))
+        merged_evidence = evidence.Evidence(policy=_POLICY)
+        merged_evidence.merge(_build_report('one', _POISON, b'a'), now_s=0.0)
+        self.assertIs(evidence.Status.SUSPECT, merged_evidence.status(b'a'))
+        merged_evidence.merge(_build_report('two', _POISON, b'b'), now_s=0.0)
+        self.assertIs(
+            evidence.Status.QUARANTINED, merged_evidence.status(_POISON)
+        )
         for name in (b'a', b'b'):
-            self.assertIs(evidence.Status.CLEAR, known.status(name))
+            self.assertIs(evidence.Status.CLEAR, merged_evidence.status(name))
--- a/packages/savoryyoke/tests/quarantine/test_fleet.py
+++ b/packages/savoryyoke/tests/quarantine/test_fleet.py
@@ -1,6 +1,7 @@
-"""Test entries together: what they stop sending, and what they go on with.
+"""Test which requests several entries together stop sending.
 
-Each test plays callers whose request crashes targets beside healthy ones.
+Each test simulates callers of healthy requests, most of them together with
+callers whose requests crash targets.
 """
 
 import unittest
@@ -10,11 +11,11 @@
 
 from tests.quarantine import world
 
-# The users' bound: this long after the third crash, a request may reach
-# targets three times more, through all entries together.
-CRASHES_TO_LEARN = 3
-LEARNING_S = 3.0
-ARRIVALS_AFTER_LIMIT = 3
+# Requirement: later than DETECTION_S after its third crash, a request may
+# reach targets at most three more times in total over all entries.
+CRASHES_BEFORE_LIMIT = 3
+DETECTION_S = 3.0
+MAX_LATE_ARRIVALS = 3
 SEEDS = range(20)
 SECONDS = 30.0
 HEALTHY = (
@@ -25,50 +26,56 @@
 
 
 def build_fatal(number, **changes):
-    """Return the kind of a caller whose request crashes targets."""
+    """Return a kind of caller whose requests crash targets."""
     fields = {'content': b'fatal-%d' % number, 'fatal_after_s': 0.03}
     return world.Kind(**(fields | changes))
 
 
-def count_late(played, content):
-    """Return how often a request reached targets after the time to learn."""
-    arrivals_s = played.arrivals_s[content]
-    crashed_s = played.crashed_s[content]
-    if len(crashed_s) < CRASHES_TO_LEARN:
+def count_late(fleet, content):
+    """Return how often a request reached targets later than allowed."""
+    arrivals_s = fleet.arrivals_s[content]
+    crashes_s = fleet.crashes_s[content]
+    if len(crashes_s) < CRASHES_BEFORE_LIMIT:
         return 0
-    learnt_s = crashed_s[CRASHES_TO_LEARN - 1] + LEARNING_S
-    return sum(x > learnt_s for x in arrivals_s)
+    limited_from_s = crashes_s[CRASHES_BEFORE_LIMIT - 1] + DETECTION_S
+    return sum(arrival_s > limited_from_s for arrival_s in arrivals_s)
 
 
 class FleetCase(unittest.TestCase):
-    def play(self, kinds, *, seed, seconds=SECONDS, prepare=None, **changes):
-        """Play callers of the kinds and return the world."""
-        played = world.World(seed=seed, **changes)
+    def simulate(
+        self, kinds, *, seed, seconds=SECONDS, prepare=None, **changes
+    ):
+        """Simulate callers of the given kinds; return the simulated fleet."""
+        fleet = world.World(seed=seed, **changes)
         for kind in (*kinds, *HEALTHY):
-            played.after(played.source.random(), played.call, kind)
+            fleet.call_later(
+                fleet.generator.random(), fleet.send_request, kind
+            )
         if prepare is not None:
-            prepare(played)
-        played.run(seconds)
-        return played
+            prepare(fleet)
+        fleet.run(seconds)
+        return fleet
 
     def check(self, kinds, **changes):
-        """Check the bound, and that healthy requests are never refused."""
-        fatal = {x.content for x in kinds if x.fatal_after_s is not None}
+        """Check the bound, and that no healthy request is refused."""
+        fatal = {
+            kind.content for kind in kinds if kind.fatal_after_s is not None
+        }
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                played = self.play(kinds, seed=seed, **changes)
-                self.check_bound(played, fatal)
-                self.check_healthy(played, fatal)
+                fleet = self.simulate(kinds, seed=seed, **changes)
+                self.check_bound(fleet, fatal)
+                self.check_healthy(fleet, fatal)
 
-    def check_bound(self, played, fatal):
-        """Check that requests that crash targets are sent no more."""
+    def check_bound(self, fleet, fatal):
+        """Check that requests that crash targets are no longer sent."""
         for content in fatal:
-            late = count_late(played, content)
-            self.assertLessEqual(late, ARRIVALS_AFTER_LIMIT)
+            late = count_late(fleet, content)
+            self.assertLessEqual(late, MAX_LATE_ARRIVALS)
 
-    def check_healthy(self, played, fatal):
-        """Check that no other request was refused."""
-        self.assertEqual(set(), set(played.refused) - fatal)
+    def check_healthy(self, fleet, fatal):
+        """Check that only fatal requests were refused."""
+        self.assertEqual(set(), set(fleet.refused) - fatal)
 
 
 class BoundTests(FleetCase):
@@ -81,8 +88,8 @@
     def test_two_requests_side_by_side(self):
         self.check([build_fatal(0), build_fatal(1)])
 
-    def test_targets_that_return_under_their_ids_before_the_list_says_so(self):
-        self.check([build_fatal(0)] * 2, keeps_ids=True, list_lag_s=0.8)
+    def test_targets_that_restart_with_their_ids_before_the_list_changes(self):
+        self.check([build_fatal(0)] * 2, keeps_target_ids=True, list_lag_s=0.8)
 
     def test_each_start_of_a_target_has_a_release_of_its_own(self):
         self.check(
@@ -96,71 +103,75 @@
         self.check([build_fatal(0)] * 2, release=release)
 
     def test_many_requests(self):
-        self.check([build_fatal(x) for x in range(8)])
+        self.check([build_fatal(number) for number in range(8)])
 
     def test_request_that_runs_for_a_while_before_the_crash(self):
         self.check([build_fatal(0, fatal_after_s=0.8)] * 2)
 
     def test_large_fleet_and_lost_datagrams(self):
-        self.check([build_fatal(0)] * 4, entries=16, targets=12, loss=0.3)
+        self.check(
+            [build_fatal(0)] * 4, entries=16, targets=12, loss_share=0.3
+        )
 
     def test_entries_that_restart_one_after_the_other(self):
-        def prepare(played):
+        def prepare(fleet):
             for number in range(4):
-                played.after(4.0 + 1.5 * number, played.restart, number)
+                fleet.call_later(4.0 + 1.5 * number, fleet.restart, number)
 
         self.check([build_fatal(0)] * 2, prepare=prepare)
 
-    def test_one_entry_that_hears_no_other(self):
-        def hears(one, other, now_s):
-            return 0 not in (one, other)
+    def test_one_entry_without_connection_to_the_others(self):
+        def is_connected(entry, peer, now_s):
+            return 0 not in (entry, peer)
 
-        self.check([build_fatal(0)] * 2, hears=hears)
+        self.check([build_fatal(0)] * 2, is_connected=is_connected)
 
-    def test_halves_that_do_not_hear_each_other(self):
-        def hears(one, other, now_s):
-            return (one < 2) == (other < 2)
+    def test_halves_without_connection_to_each_other(self):
+        def is_connected(entry, peer, now_s):
+            return (entry < 2) == (peer < 2)
 
-        self.check([build_fatal(0)] * 2, hears=hears)
+        self.check([build_fatal(0)] * 2, is_connected=is_connected)
 
-    def test_many_entries_that_hear_each_other_and_a_slow_sender(self):
+    def test_many_connected_entries_and_a_slow_sender(self):
         self.check([build_fatal(0, pause_s=2.0)], entries=8, seconds=60.0)
 
-    def test_entries_are_cut_off_for_a_time(self):
-        def hears(one, other, now_s):
+    def test_entries_are_disconnected_for_a_time(self):
+        def is_connected(entry, peer, now_s):
             return not 2.0 < now_s < 8.0
 
-        self.check([build_fatal(0)] * 2, hears=hears)
+        self.check([build_fatal(0)] * 2, is_connected=is_connected)
 
 
 class SilentFleetTests(FleetCase):
-    """Check entries none of which ever hears another."""
+    """Check entries that never receive messages from each other."""
 
-    def play_silent(self, *, seed, seconds=SECONDS, **changes):
-        return self.play(
+    def simulate_silent(self, *, seed, seconds=SECONDS, **changes):
+        return self.simulate(
             [build_fatal(0, **changes)] * 2,
             seed=seed,
             seconds=seconds,
-            hears=lambda one, other, now_s: False,
+            is_connected=lambda entry, peer, now_s: False,
         )
 
     def test_bound(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                played = self.play_silent(seed=seed)
-                self.check_bound(played, {b'fatal-0'})
+                fleet = self.simulate_silent(seed=seed)
+                self.check_bound(fleet, {b'fatal-0'})
 
     def test_bound_with_a_slow_sender(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                played = self.play_silent(seed=seed, pause_s=3.0, seconds=90.0)
-                self.check_bound(played, {b'fatal-0'})
+                fleet = self.simulate_silent(
+                    seed=seed, pause_s=3.0, seconds=90.0
+                )
+                self.check_bound(fleet, {b'fatal-0'})
 
     def test_healthy_requests(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                played = self.play_silent(seed=seed)
-                self.check_healthy(played, {b'fatal-0'})
+                fleet = self.simulate_silent(seed=seed)
+                self.check_healthy(fleet, {b'fatal-0'})
 
 
 class HealthyTests(FleetCase):
@@ -168,32 +179,35 @@
         self.check([], prepare=crash_at_random, seconds=120.0)
 
     def test_beside_requests_that_crash_targets(self):
-        self.check([build_fatal(x) for x in range(3)], prepare=crash_at_random)
+        self.check(
+            [build_fatal(number) for number in range(3)],
+            prepare=crash_at_random,
+        )
 
-    def test_entries_that_hear_nobody(self):
+    def test_entries_without_connection(self):
         self.check(
             [],
             prepare=crash_at_random,
-            hears=lambda one, other, now_s: False,
+            is_connected=lambda entry, peer, now_s: False,
         )
 
 
 class MutantTests(FleetCase):
-    """Check that the tests above see what they are for."""
+    """Check that the tests above detect faulty versions."""
 
     def count_findings(self, kinds, **changes):
-        """Return the breaches of the bound and the refused healthy ones."""
+        """Return the counts of exceeded bounds and refused healthy calls."""
         late = healthy = 0
         for seed in range(3):
-            played = self.play(kinds, seed=seed, **changes)
-            fatal = {x.content for x in kinds}
-            late += sum(count_late(played, x) > 3 for x in fatal)
-            healthy += len(set(played.refused) - fatal)
+            fleet = self.simulate(kinds, seed=seed, **changes)
+            fatal = {kind.content for kind in kinds}
+            late += sum(count_late(fleet, content) > 3 for content in fatal)
+            healthy += len(set(fleet.refused) - fatal)
         return late, healthy
 
-    def test_entries_that_tell_nobody(self):
-        def prepare(played):
-            played._loss = 1.0
+    def test_entries_that_share_no_reports(self):
+        def prepare(fleet):
+            fleet._loss_share = 1.0
 
         kinds = [build_fatal(0, pause_s=0.6)] * 2
         late, _ = self.count_findings(kinds, prepare=prepare, entries=8)
@@ -213,7 +227,7 @@
             late, _ = self.count_findings([build_fatal(0)])
         self.assertEqual(3, late)
 
-    def test_all_requests_of_a_crash_are_suspected_alike(self):
+    def test_all_requests_of_a_crash_are_quarantined(self):
         with unittest.mock.patch.object(
             aggregates.evidence,
             '_assess',
@@ -222,12 +236,12 @@
             ),
         ):
             _, healthy = self.count_findings(
-                [build_fatal(x) for x in range(6)]
+                [build_fatal(number) for number in range(6)]
             )
         self.assertGreater(healthy, 0)
 
 
-def crash_at_random(played):
-    """Crash a target each second or so, whatever runs there."""
-    played.crash(played.source.choice(played.targets))
-    played.after(played.source.expovariate(1.0), crash_at_random, played)
+def crash_at_random(fleet):
+    """Crash a random target about once per second."""
+    fleet.crash(fleet.generator.choice(fleet.targets))
+    fleet.call_later(fleet.generator.expovariate(1.0), crash_at_random, fleet)
--- a/packages/savoryyoke/tests/quarantine/test_quarantine.py
+++ b/packages/savoryyoke/tests/quarantine/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Test what entries and targets do with suspects."""
+"""Test how entries and targets handle suspects."""
 
 import json
 import unittest
@@ -15,16 +15,18 @@
 _POLICY = conf.QuarantinePolicy(crashes_to_quarantine=2)
 
 
-def _request(call_id, fingerprint, reports=()):
+def _build_run_request(call_id, fingerprint, reports=()):
     return events.RunRequested(
         call_id=call_id, fingerprint=fingerprint, reports=reports
     )
 
 
-def _crash(target, crash_id, requests, reports=()):
-    """Run requests on a target until it crashes; return its reports."""
+def _crash_target(target, crash_id, requests, reports=()):
+    """Start requests on a target, crash it and return its reports."""
     for fingerprint in requests:
-        request = _request(f'{crash_id}-{fingerprint}', fingerprint, reports)
+        request = _build_run_request(
+            f'{crash_id}-{fingerprint}', fingerprint, reports
+        )
         (run,) = target.apply(request, now_s=0.0)
         assert isinstance(run, decisions.Run), run
     crashed = events.BackendCrashed(crash_id=crash_id)
@@ -33,25 +35,29 @@
 
 
 class IsolationTest(unittest.TestCase):
-    """Check that suspects run one at a time and apart."""
+    """Check that a target runs one suspect at a time."""
 
     def setUp(self):
-        """Let one back end crash under three requests."""
+        """Crash one back end while it runs three requests."""
         self.entry = aggregates.Quarantine(policy=_POLICY)
-        self.first = aggregates.Quarantine(policy=_POLICY)
-        self.second = aggregates.Quarantine(policy=_POLICY)
-        reports = _crash(self.first, 'crash-1', [_POISON, b'a', b'b'])
+        self.first_target = aggregates.Quarantine(policy=_POLICY)
+        self.second_target = aggregates.Quarantine(policy=_POLICY)
+        reports = _crash_target(
+            self.first_target, 'crash-1', [_POISON, b'a', b'b']
+        )
         received = events.ReportsReceived(reports=reports)
         self.entry.apply(received, now_s=0.0)
 
     def test_request_is_stopped_after_two_crashes(self):
-        isolate = self._offer(_POISON)
-        reports = _crash(self.second, 'crash-2', [b'c', _POISON])
+        isolate = self._offer_call(_POISON)
+        reports = _crash_target(self.second_target, 'crash-2', [b'c', _POISON])
         self.assertEqual(1, len(reports))
-        # The entry's report and the crash meet on the second target.
-        told = events.ReportsReceived(reports=isolate.reports)
-        self.second.apply(told, now_s=0.0)
-        (refusal,) = self.second.apply(_request('again', _POISON), now_s=0.0)
+        # The second target now has its own crash and the entry's report.
+        received = events.ReportsReceived(reports=isolate.reports)
+        self.second_target.apply(received, now_s=0.0)
+        (refusal,) = self.second_target.apply(
+            _build_run_request('again', _POISON), now_s=0.0
+        )
         self.assertIsInstance(refusal, decisions.RefuseForGood)
         self.assertEqual(2, refusal.crashes)
 
@@ -63,44 +69,58 @@
         ):
             reports = ()
             if name != b'clear':
-                reports = self._offer(name).reports
-            request = _request(str(name), name, reports)
-            (made,) = self.second.apply(request, now_s=0.0)
-            self.assertIsInstance(made, expected, name)
-        self.assertFalse(made.same_request)
-
-    def test_success_clears_and_frees_the_target(self):
-        reports = self._offer(b'a').reports
-        self.second.apply(_request('a', b'a', reports), now_s=0.0)
+                reports = self._offer_call(name).reports
+            request = _build_run_request(str(name), name, reports)
+            (decision,) = self.second_target.apply(request, now_s=0.0)
+            self.assertIsInstance(decision, expected, name)
+        self.assertFalse(decision.same_request)
+
+    def test_success_clears_a_request_and_frees_the_target(self):
+        reports = self._offer_call(b'a').reports
+        self.second_target.apply(
+            _build_run_request('a', b'a', reports), now_s=0.0
+        )
         ended = events.RunEnded(call_id='a', succeeded=True)
-        self.second.apply(ended, now_s=1.0)
-        (run,) = self.second.apply(_request('b', b'b', reports), now_s=1.0)
+        self.second_target.apply(ended, now_s=1.0)
+        (run,) = self.second_target.apply(
+            _build_run_request('b', b'b', reports), now_s=1.0
+        )
         self.assertIsInstance(run, decisions.Run)
         self.assertTrue(run.suspect)
-        (heartbeat,) = self.second.apply(
+        (heartbeat,) = self.second_target.apply(
             events.HeartbeatDue(report_limit=4), now_s=1.0
         )
-        told = events.ReportsReceived(reports=heartbeat.reports)
-        self.entry.apply(told, now_s=2.0)
+        received = events.ReportsReceived(reports=heartbeat.reports)
+        self.entry.apply(received, now_s=2.0)
         self.assertIs(evidence.Status.CLEAR, self.entry.status(b'a'))
 
-    def test_late_news_does_not_undo_a_success(self):
-        unaware = aggregates.Quarantine(policy=_POLICY)
-        unaware.apply(events.CallSucceeded(fingerprint=b'a'), now_s=0.0)
-        news = self._offer(_POISON).reports
-        unaware.apply(events.ReportsReceived(reports=news), now_s=5.0)
-        self.assertIs(evidence.Status.CLEAR, unaware.status(b'a'))
-        self.assertIs(evidence.Status.SUSPECT, unaware.status(_POISON))
-
-    def test_quarantine_stops_runs_that_began_before(self):
-        third = aggregates.Quarantine(policy=_POLICY)
-        third.apply(_request('unaware', _POISON), now_s=0.0)
-        news = _crash(self.second, 'crash-2', [_POISON])
-        news += self._offer(_POISON).reports
-        made = third.apply(events.ReportsReceived(reports=news), now_s=0.0)
-        self.assertEqual((decisions.StopRun(call_id='unaware'),), made)
-
-    def _offer(self, fingerprint):
+    def test_late_report_does_not_undo_a_success(self):
+        uninformed_target = aggregates.Quarantine(policy=_POLICY)
+        uninformed_target.apply(
+            events.CallSucceeded(fingerprint=b'a'), now_s=0.0
+        )
+        reports = self._offer_call(_POISON).reports
+        uninformed_target.apply(
+            events.ReportsReceived(reports=reports), now_s=5.0
+        )
+        self.assertIs(evidence.Status.CLEAR, uninformed_target.status(b'a'))
+        self.assertIs(
+            evidence.Status.SUSPECT, uninformed_target.status(_POISON)
+        )
+
+    def test_quarantine_stops_calls_that_are_already_running(self):
+        third_target = aggregates.Quarantine(policy=_POLICY)
+        third_target.apply(_build_run_request('unaware', _POISON), now_s=0.0)
+        reports = _crash_target(self.second_target, 'crash-2', [_POISON])
+        reports += self._offer_call(_POISON).reports
+        stop_decisions = third_target.apply(
+            events.ReportsReceived(reports=reports), now_s=0.0
+        )
+        self.assertEqual(
+            (decisions.StopRun(call_id='unaware'),), stop_decisions
+        )
+
+    def _offer_call(self, fingerprint):
         offered = events.CallOffered(call_id='c', fingerprint=fingerprint)
         (isolate,) = self.entry.apply(offered, now_s=0.0)
         self.assertIsInstance(isolate, decisions.Isolate)
@@ -108,18 +128,22 @@
 
 
 class FingerprintTest(unittest.TestCase):
-    """Check which requests count as the same."""
+    """Check which requests are treated as the same."""
 
-    def test_key_and_spacing_do_not_matter(self):
+    def test_request_id_and_white_space_are_ignored(self):
         content = {'model': 'm', 'prompt': 'caf\u00e9', 'request_id': '1'}
-        again = {'request_id': '2', 'prompt': 'cafe\u0301', 'model': 'm'}
-        other = {'model': 'm', 'prompt': 'tea', 'request_id': '1'}
+        same_content = {
+            'request_id': '2',
+            'prompt': 'cafe\u0301',
+            'model': 'm',
+        }
+        other_content = {'model': 'm', 'prompt': 'tea', 'request_id': '1'}
         digests = [
             fingerprints.compute_fingerprint(service='s', body=body)
             for body in (
                 json.dumps(content).encode(),
-                json.dumps(again, indent=2).encode(),
-                json.dumps(other).encode(),
+                json.dumps(same_content, indent=2).encode(),
+                json.dumps(other_content).encode(),
                 b'[' * 100_000,
                 b'"\\ud800"',
             )
@@ -129,10 +153,10 @@
 
     def test_entries_agree_on_the_isolating_target(self):
         targets = [f'target-{number}' for number in range(12)]
-        ranked = isolation.rank_targets(
+        ranking = isolation.rank_targets(
             fingerprint=_POISON, target_ids=targets
         )
-        again = isolation.rank_targets(
+        reverse_ranking = isolation.rank_targets(
             fingerprint=_POISON, target_ids=targets[::-1]
         )
-        self.assertEqual(ranked, again)
+        self.assertEqual(ranking, reverse_ranking)
--- a/packages/savoryyoke/tests/quarantine/test_withholding.py
+++ b/packages/savoryyoke/tests/quarantine/test_withholding.py
@@ -1,4 +1,4 @@
-"""Test what an entry withholds from targets that it calls itself."""
+"""Test which requests an entry withholds from targets it calls directly."""
 
 import unittest
 
@@ -32,9 +32,10 @@
         return self.quarantine.apply(event, now_s=now_s)
 
     def crash(self, *numbers, contents=(), release='v1', now_s=0.0):
-        """Take in crashes of a release."""
+        """Apply reports of crashes of a release."""
         reports = tuple(
-            build_report(x, *contents, release=release) for x in numbers
+            build_report(number, *contents, release=release)
+            for number in numbers
         )
         self.apply(events.ReportsReceived(reports=reports), now_s)
 
@@ -63,12 +64,12 @@
         withheld = self.assert_withheld('v1')
         self.assertEqual(3, withheld.crashes)
 
-    def test_entry_that_hears_no_other_takes_two_crashes(self):
+    def test_entry_without_peers_withholds_after_two_crashes(self):
         self.crash(1, 2)
         self.apply(events.PeersHeard(count=0))
         self.assert_withheld('v1')
 
-    def test_one_crash_withholds_nothing_even_alone(self):
+    def test_one_crash_withholds_nothing_even_without_peers(self):
         self.apply(events.PeersHeard(count=0))
         self.crash(1)
         self.assert_routed()
@@ -80,17 +81,17 @@
         for number in range(4):
             self.assert_routed(b'other-%d' % number)
 
-    def test_requests_that_cannot_be_told_apart_are_withheld_later(self):
-        for number in range(1, POLICY.crashes_in_any_case):
+    def test_indistinguishable_requests_are_withheld_later(self):
+        for number in range(1, POLICY.total_crashes_to_quarantine):
             self.crash(number, contents=(FATAL, b'twin'))
         self.assert_routed()
-        last = POLICY.crashes_in_any_case
-        self.crash(last, contents=(FATAL, b'twin', b'x'))
+        last_number = POLICY.total_crashes_to_quarantine
+        self.crash(last_number, contents=(FATAL, b'twin', b'x'))
         self.assert_withheld('v1')
         self.assertIsInstance(self.offer(b'twin'), decisions.Withhold)
         self.assert_routed(b'x')
 
-    def test_request_that_is_answered_meanwhile_is_sent(self):
+    def test_request_that_succeeded_between_crashes_is_sent(self):
         self.crash(1, 2)
         self.apply(events.CallSucceeded(fingerprint=FATAL, release='v1'))
         self.crash(3, now_s=1.0)
@@ -103,7 +104,7 @@
         self.crash(1, 2, 3)
 
     def test_request_may_run_on_another_release(self):
-        # The entry leaves out the releases that are named, and no others.
+        # The decision lists only the releases that crashed.
         self.assert_withheld('v1')
 
     def test_one_crash_withholds_it_from_another_release(self):
@@ -121,7 +122,7 @@
         self.assertTrue(self.offer(now_s=late_s - 1.0).includes_others)
         self.assertFalse(self.offer(now_s=late_s).includes_others)
 
-    def test_answer_of_another_release_frees_only_that(self):
+    def test_success_on_another_release_clears_only_that_release(self):
         self.crash(4, release='v2')
         self.apply(events.CallSucceeded(fingerprint=FATAL, release='v2'))
         self.assert_withheld('v1')
@@ -132,12 +133,12 @@
         super().setUp()
         self.crash(1, 2, 3)
 
-    def test_request_is_tried_once_more_after_a_while(self):
+    def test_request_is_retried_once_after_the_delay(self):
         due_s = POLICY.retrial_s
         withheld = self.assert_withheld('v1', now_s=due_s - 100.0)
         self.assertEqual(100.0, withheld.retry_after_s)
         self.assert_routed(call_id='first', now_s=due_s)
-        # The call keeps its right, others wait for its outcome.
+        # The same call may go on, other calls wait for its result.
         self.assert_routed(call_id='first', now_s=due_s + 1.0)
         self.assert_withheld('v1', call_id='second', now_s=due_s + 1.0)
         late_s = due_s + POLICY.retrial_timeout_s
@@ -149,7 +150,7 @@
         withheld = self.assert_withheld('v1', now_s=now_s)
         self.assertEqual(2 * POLICY.retrial_s, withheld.retry_after_s)
 
-    def test_answer_ends_the_quarantine(self):
+    def test_success_ends_the_quarantine(self):
         now_s = POLICY.retrial_s
         self.assert_routed(now_s=now_s)
         self.apply(
@@ -163,22 +164,30 @@
         return self.quarantine.evidence.digest(now_s=now_s)
 
     def test_equal_evidence_has_equal_digests(self):
-        other = aggregates.Quarantine(policy=POLICY)
-        self.assertEqual(self.digest(), other.evidence.digest(now_s=0.0))
+        other_quarantine = aggregates.Quarantine(policy=POLICY)
+        self.assertEqual(
+            self.digest(), other_quarantine.evidence.digest(now_s=0.0)
+        )
         self.crash(1, 2)
-        self.assertNotEqual(self.digest(), other.evidence.digest(now_s=0.0))
+        self.assertNotEqual(
+            self.digest(), other_quarantine.evidence.digest(now_s=0.0)
+        )
         reports = (build_report(2), build_report(1))
-        other.apply(events.ReportsReceived(reports=reports), now_s=0.0)
-        self.assertEqual(self.digest(), other.evidence.digest(now_s=0.0))
+        other_quarantine.apply(
+            events.ReportsReceived(reports=reports), now_s=0.0
+        )
+        self.assertEqual(
+            self.digest(), other_quarantine.evidence.digest(now_s=0.0)
+        )
 
     def test_clearance_and_expiry_change_the_digest(self):
-        empty = self.digest()
+        empty_digest = self.digest()
         self.crash(1)
-        known = self.digest()
+        digest_before = self.digest()
         self.apply(events.CallSucceeded(fingerprint=FATAL, release='v1'))
-        self.assertNotEqual(known, self.digest())
+        self.assertNotEqual(digest_before, self.digest())
         late_s = POLICY.evidence_s - POLICY.silent_s / 2
-        self.assertEqual(empty, self.digest(late_s))
+        self.assertEqual(empty_digest, self.digest(late_s))
 
 
 class ContentDigestTests(unittest.TestCase):
@@ -186,8 +195,8 @@
         service='s', caller='team', method=b'POST', target=b'/a?b', body=b'x'
     )
 
-    def test_each_part_counts(self):
-        known = fingerprints.compute_content_digest(**self.REQUEST)
+    def test_each_part_changes_the_digest(self):
+        original_digest = fingerprints.compute_content_digest(**self.REQUEST)
         for name, value in (
             ('service', 't'),
             ('caller', 'other'),
@@ -195,15 +204,15 @@
             ('target', b'/a?c'),
             ('body', b'y'),
         ):
-            changed = fingerprints.compute_content_digest(
+            changed_digest = fingerprints.compute_content_digest(
                 **(self.REQUEST | {name: value})
             )
-            self.assertNotEqual(known, changed, name)
+            self.assertNotEqual(original_digest, changed_digest, name)
 
-    def test_parts_do_not_run_into_each_other(self):
-        first = self.REQUEST | {'target': b'/ab', 'body': b'c'}
-        second = self.REQUEST | {'target': b'/a', 'body': b'bc'}
+    def test_digest_depends_on_the_boundaries_of_the_parts(self):
+        request = self.REQUEST | {'target': b'/ab', 'body': b'c'}
+        shifted_request = self.REQUEST | {'target': b'/a', 'body': b'bc'}
         self.assertNotEqual(
-            fingerprints.compute_content_digest(**first),
-            fingerprints.compute_content_digest(**second),
+            fingerprints.compute_content_digest(**request),
+            fingerprints.compute_content_digest(**shifted_request),
         )
--- a/packages/savoryyoke/tests/quarantine/world.py
+++ b/packages/savoryyoke/tests/quarantine/world.py
@@ -1,4 +1,4 @@
-"""Play entries, targets that crash and callers on a clock of its own."""
+"""Simulate entries, targets that crash and callers in simulated time."""
 
 import collections
 import dataclasses
@@ -15,10 +15,10 @@
 
 HEARTBEAT_S = 0.1
 REPORTS_PER_HEARTBEAT = 8
-# From a broken connection to the answer of the probe.
-PROBE_S = 0.002
+# From a broken connection to the refusal of a new connection.
+CONNECTION_REFUSAL_S = 0.002
 DELIVERY_S = 0.002
-DOWN_S = 2.0
+RESTART_S = 2.0
 POLICY = conf.ENTRY_POLICY
 
 
@@ -26,9 +26,9 @@
 class Kind:
     """Describe the requests of one caller.
 
-    A request is sent again ``pause_s`` after the last one has ended, with
-    the same content if it has one, else with a new one. Targets end
-    ``fatal_after_s`` into its run, if that is set.
+    The next request is sent ``pause_s`` after the last one has ended, with
+    the same content if ``content`` is set, else with new content. If
+    ``fatal_after_s`` is set, the request crashes its target after that time.
     """
 
     content: bytes | None = None
@@ -43,8 +43,8 @@
     kind: Kind
     content: bytes
     entry: object
-    tried: int
-    is_over: bool = False
+    tries: int
+    has_ended: bool = False
 
 
 class _Target:
@@ -57,7 +57,7 @@
 
 
 class Entry:
-    """Hold what one entry knows; a restart makes a new one."""
+    """Store the state of one entry; a restart replaces the object."""
 
     def __init__(self, *, number, now_s):
         self.number = number
@@ -65,8 +65,8 @@
         self.detector = detection.CrashDetector(evidence_s=POLICY.evidence_s)
         self.quarantine = aggregates.Quarantine(policy=POLICY)
 
-    def take_in(self, event, now_s):
-        """Let the detector judge an event."""
+    def handle_event(self, event, now_s):
+        """Apply an event to the detector and record the crashes it detects."""
         reports = self.detector.apply(event, now_s=now_s)
         if reports:
             received = events.ReportsReceived(reports=reports)
@@ -74,7 +74,11 @@
 
 
 class World:
-    """Play until a time; ``hears(a, b, now_s)`` tells who hears whom."""
+    """Simulate a fleet of entries and targets.
+
+    ``is_connected(entry, peer, now_s)`` returns whether an entry exchanges
+    messages with another one; both are given by number.
+    """
 
     def __init__(
         self,
@@ -82,79 +86,95 @@
         seed,
         entries=4,
         targets=6,
-        hears=lambda one, other, now_s: True,
-        loss=0.0,
-        keeps_ids=False,
+        is_connected=lambda entry, peer, now_s: True,
+        loss_share=0.0,
+        keeps_target_ids=False,
         release=lambda target_id, now_s: 'v1',
         list_lag_s=0.0,
     ):
-        self.source = random.Random(seed)
+        self.generator = random.Random(seed)
         self.now_s = 0.0
-        self._hears = hears
-        self._loss = loss
-        self._keeps_ids = keeps_ids
+        self._is_connected = is_connected
+        self._loss_share = loss_share
+        self._keeps_target_ids = keeps_target_ids
         self._release = release
         self._list_lag_s = list_lag_s
         self._queue = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._numbers = itertools.count(1)
-        self.targets = [_Target(f't{x}') for x in range(targets)]
-        self.entries = [Entry(number=x, now_s=0.0) for x in range(entries)]
+        self.targets = [_Target(f't{number}') for number in range(targets)]
+        self.entries = [
+            Entry(number=number, now_s=0.0) for number in range(entries)
+        ]
         self.arrivals_s = collections.defaultdict(list)
-        self.crashed_s = collections.defaultdict(list)
+        self.crashes_s = collections.defaultdict(list)
         self.refused = collections.Counter()
         self.served = collections.Counter()
         for target in self.targets:
-            self._return(target)
+            self._restart_target(target)
         for number in range(entries):
-            self.after(self.source.uniform(0, HEARTBEAT_S), self._beat, number)
+            self.call_later(
+                self.generator.uniform(0, HEARTBEAT_S),
+                self._send_heartbeat,
+                number,
+            )
 
-    def after(self, delay_s, act, *arguments):
-        """Call ``act`` later."""
-        item = (self.now_s + delay_s, next(self._order), act, arguments)
+    def call_later(self, delay_s, callback, *arguments):
+        """Schedule a callback after a delay in seconds."""
+        item = (
+            self.now_s + delay_s,
+            next(self._sequence),
+            callback,
+            arguments,
+        )
         heapq.heappush(self._queue, item)
 
     def run(self, until_s):
-        """Play until a time."""
+        """Run the simulation until a time in seconds."""
         while self._queue and self._queue[0][0] <= until_s:
-            self.now_s, _, act, arguments = heapq.heappop(self._queue)
-            act(*arguments)
+            self.now_s, _, callback, arguments = heapq.heappop(self._queue)
+            callback(*arguments)
 
-    def call(self, kind):
-        """Send a request and go on with the next one after its end."""
+    def send_request(self, kind):
+        """Send a request; the next one follows after its end."""
         content = kind.content or b'content-%d' % next(self._numbers)
-        entry = self.source.choice(self.entries)
-        self._try(kind, content, entry, 0)
+        entry = self.generator.choice(self.entries)
+        self._start_try(kind, content, entry, 0)
 
     def restart(self, number):
-        """Replace an entry by one that knows nothing."""
+        """Replace an entry by one without any evidence."""
         entry = Entry(number=number, now_s=self.now_s)
         self.entries[number] = entry
-        self._list(entry)
+        self._send_target_list(entry)
 
     def crash(self, target):
-        """End a target, whatever the reason."""
+        """Crash a target with all of its running requests."""
         if not target.is_up:
             return
         target.is_up = False
-        self.after(DOWN_S, self._return, target)
+        self.call_later(RESTART_S, self._restart_target, target)
         runs, target.runs = target.runs, []
         for run in runs:
-            run.is_over = True
-            self.crashed_s[run.content].append(self.now_s)
+            run.has_ended = True
+            self.crashes_s[run.content].append(self.now_s)
             lost = events.TryLost(
                 target=target.description,
                 fingerprint=run.content,
                 is_broken=True,
             )
-            run.entry.take_in(lost, self.now_s)
-            self.after(PROBE_S, self._probe, run, target.description)
+            run.entry.handle_event(lost, self.now_s)
+            self.call_later(
+                CONNECTION_REFUSAL_S,
+                self._refuse_connection,
+                run,
+                target.description,
+            )
 
-    def _return(self, target):
+    def _restart_target(self, target):
         target.number += 1
         target.is_up = True
         target_id = f'{target.name}.{target.number}'
-        if self._keeps_ids:
+        if self._keeps_target_ids:
             target_id = target.name
         description = models.Target(
             target_id=target_id,
@@ -172,96 +192,121 @@
         if target.description is None:
             self._publish(target, description)
         else:
-            self.after(self._list_lag_s, self._publish, target, description)
+            self.call_later(
+                self._list_lag_s, self._publish, target, description
+            )
 
     def _publish(self, target, description):
         target.description = description
         for entry in self.entries:
-            self._list(entry)
+            self._send_target_list(entry)
 
-    def _list(self, entry):
-        listed = tuple(x.description for x in self.targets if x.description)
-        entry.take_in(events.TargetsListed(targets=listed), self.now_s)
+    def _send_target_list(self, entry):
+        descriptions = tuple(
+            target.description for target in self.targets if target.description
+        )
+        entry.handle_event(
+            events.TargetsListed(targets=descriptions), self.now_s
+        )
 
-    def _probe(self, run, description):
+    def _refuse_connection(self, run, description):
         refused = events.ConnectionRefused(target=description)
-        run.entry.take_in(refused, self.now_s)
+        run.entry.handle_event(refused, self.now_s)
         if run.entry not in self.entries:
-            self._end(run.kind)
+            self._schedule_next_request(run.kind)
             return
-        self._try(run.kind, run.content, run.entry, run.tried)
+        self._start_try(run.kind, run.content, run.entry, run.tries)
 
-    def _try(self, kind, content, entry, tried):
-        if tried >= kind.attempts:
-            self._end(kind)
+    def _start_try(self, kind, content, entry, tries):
+        if tries >= kind.attempts:
+            self._schedule_next_request(kind)
             return
         offered = events.SendOffered(
             call_id=str(next(self._numbers)), fingerprint=content
         )
         (decision,) = entry.quarantine.apply(offered, now_s=self.now_s)
-        up = [x for x in self.targets if x.is_up and len(x.runs) < 6]
+        available = [
+            target
+            for target in self.targets
+            if target.is_up and len(target.runs) < 6
+        ]
         if isinstance(decision, decisions.Withhold):
             withheld = decision.releases
-            up = [x for x in up if x.description.release not in withheld]
-            if decision.includes_others or not up:
+            available = [
+                target
+                for target in available
+                if target.description.release not in withheld
+            ]
+            if decision.includes_others or not available:
                 self.refused[content] += 1
-                self._end(kind)
+                self._schedule_next_request(kind)
                 return
-        if not up:
-            self._end(kind)
+        if not available:
+            self._schedule_next_request(kind)
             return
-        target = min(up, key=lambda x: (len(x.runs), self.source.random()))
-        run = _Run(kind=kind, content=content, entry=entry, tried=tried + 1)
+        target = min(
+            available,
+            key=lambda candidate: (
+                len(candidate.runs),
+                self.generator.random(),
+            ),
+        )
+        run = _Run(kind=kind, content=content, entry=entry, tries=tries + 1)
         target.runs.append(run)
         self.arrivals_s[content].append(self.now_s)
         if kind.fatal_after_s is not None:
-            self.after(kind.fatal_after_s, self._kill, target, run)
+            self.call_later(
+                kind.fatal_after_s, self._crash_if_running, target, run
+            )
             return
-        work_s = kind.work_s * self.source.uniform(0.5, 1.5)
-        self.after(work_s, self._answer, target, run)
+        work_s = kind.work_s * self.generator.uniform(0.5, 1.5)
+        self.call_later(work_s, self._complete_run, target, run)
 
-    def _kill(self, target, run):
-        if not run.is_over:
+    def _crash_if_running(self, target, run):
+        if not run.has_ended:
             self.crash(target)
 
-    def _answer(self, target, run):
-        if run.is_over:
+    def _complete_run(self, target, run):
+        if run.has_ended:
             return
-        run.is_over = True
+        run.has_ended = True
         target.runs.remove(run)
         self.served[run.content] += 1
         succeeded = events.CallSucceeded(
             fingerprint=run.content, release=target.description.release
         )
         run.entry.quarantine.apply(succeeded, now_s=self.now_s)
-        self._end(run.kind)
+        self._schedule_next_request(run.kind)
 
-    def _end(self, kind):
-        pause_s = kind.pause_s * self.source.uniform(0.5, 1.5)
-        self.after(pause_s, self.call, kind)
+    def _schedule_next_request(self, kind):
+        pause_s = kind.pause_s * self.generator.uniform(0.5, 1.5)
+        self.call_later(pause_s, self.send_request, kind)
 
-    def _beat(self, number):
-        self.after(HEARTBEAT_S, self._beat, number)
+    def _send_heartbeat(self, number):
+        self.call_later(HEARTBEAT_S, self._send_heartbeat, number)
         entry = self.entries[number]
-        others = [
-            x
-            for x in self.entries
-            if x is not entry and self._hears(number, x.number, self.now_s)
+        peers = [
+            peer
+            for peer in self.entries
+            if peer is not entry
+            and self._is_connected(number, peer.number, self.now_s)
         ]
-        heard = events.PeersHeard(count=len(others))
-        entry.quarantine.apply(heard, now_s=self.now_s)
+        peers_counted = events.PeersHeard(count=len(peers))
+        entry.quarantine.apply(peers_counted, now_s=self.now_s)
         digest = entry.quarantine.evidence.digest(now_s=self.now_s)
         if all(
-            x.quarantine.evidence.digest(now_s=self.now_s) == digest
-            for x in others
+            peer.quarantine.evidence.digest(now_s=self.now_s) == digest
+            for peer in peers
         ):
             return
-        due = events.HeartbeatDue(report_limit=REPORTS_PER_HEARTBEAT)
-        for shared in entry.quarantine.apply(due, now_s=self.now_s):
-            received = events.ReportsReceived(reports=shared.reports)
-            for other in others:
-                if self.source.random() >= self._loss:
-                    self.after(DELIVERY_S, self._receive, other, received)
+        heartbeat_due = events.HeartbeatDue(report_limit=REPORTS_PER_HEARTBEAT)
+        for decision in entry.quarantine.apply(
+            heartbeat_due, now_s=self.now_s
+        ):
+            received = events.ReportsReceived(reports=decision.reports)
+            for peer in peers:
+                if self.generator.random() >= self._loss_share:
+                    self.call_later(DELIVERY_S, self._receive, peer, received)
 
     def _receive(self, entry, received):
         entry.quarantine.apply(received, now_s=self.now_s)
