--- a/packages/savoryyoke-entry/savoryyoke_entry/relays.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/relays.py
@@ -121,7 +121,7 @@
 
     def _is_quarantined(self, verdict):
         return self._quarantined or isinstance(
-            verdict, quarantine_decisions.RefuseForGood
+            verdict, quarantine_decisions.RefusePermanently
         )
 
     async def _wait_for_suspect(self):
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/crashes.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/crashes.py
@@ -38,7 +38,7 @@
         self._metrics = metrics
         self._clock = clock
         self._detector = detection.CrashDetector(
-            evidence_s=quarantine_conf.ENTRY_POLICY.evidence_s
+            report_lifetime_s=quarantine_conf.ENTRY_POLICY.evidence_lifetime_s
         )
         self._later, self._due = anyio.create_memory_object_stream(
             conf.LATER_PROBES_LIMIT
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/forwarder.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/forwarder.py
@@ -211,7 +211,9 @@
         wanted = {release}
         if release is None:
             wanted = self._dispatching.releases(call.service_name)
-        if not (withhold.includes_others or wanted <= withhold.releases):
+        if not (
+            withhold.includes_other_releases or wanted <= withhold.releases
+        ):
             return False
         call.reason = 'quarantined'
         call.retry_after_s = withhold.retry_after_s
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/suspects.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/suspects.py
@@ -48,7 +48,7 @@
 
     def note_peers(self, heartbeats):
         """Take over how many entries are heard."""
-        self._apply(events.PeersHeard(count=len(heartbeats)))
+        self._apply(events.PeersCounted(count=len(heartbeats)))
         self._note_changes(source='time')
 
     def take_in(self, reports, *, source):
@@ -89,7 +89,7 @@
         before = self._quarantined
         self._quarantined = evidence.quarantined()
         for fingerprint in self._quarantined - before:
-            record = evidence.record(fingerprint)
+            record = evidence.summarize_crashes(fingerprint)
             self._metrics.count_quarantined()
             logs.write_event(
                 'request_quarantined',
--- a/packages/savoryyoke-gateway/tests/test_suspects.py
+++ b/packages/savoryyoke-gateway/tests/test_suspects.py
@@ -27,7 +27,7 @@
         evidence.CrashReport(
             crash_id=f't{number}/1',
             fingerprints=frozenset(contents),
-            remaining_s=quarantine_conf.ENTRY_POLICY.evidence_s,
+            remaining_s=quarantine_conf.ENTRY_POLICY.evidence_lifetime_s,
             release='v1',
         )
         for number in range(crashes)
--- a/packages/savoryyoke/savoryyoke/quarantine/aggregates.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/aggregates.py
@@ -76,7 +76,7 @@
     def _(self, event: events.SendOffered, now_s):
         if self.status(event.fingerprint) is not _Status.QUARANTINED:
             return (decisions.Route(call_id=event.call_id),)
-        summary = self._evidence.record(event.fingerprint)
+        summary = self._evidence.summarize_crashes(event.fingerprint)
         remaining_s = (
             summary.last_crash_s + self._retrial_after_s(summary) - now_s
         )
@@ -88,12 +88,14 @@
                 releases=summary.releases,
                 crashes=summary.crashes,
                 retry_after_s=max(remaining_s, self._policy.retrial_timeout_s),
-                includes_others=self._withholds_other_releases(summary, now_s),
+                includes_other_releases=self._withholds_other_releases(
+                    summary, now_s
+                ),
             ),
         )
 
     @_apply.register
-    def _(self, event: events.PeersHeard, now_s):
+    def _(self, event: events.PeersCounted, now_s):
         self._evidence.set_threshold(
             self._policy.crashes_to_quarantine
             if event.count
@@ -140,7 +142,7 @@
         report = evidence.CrashReport(
             crash_id=event.crash_id,
             fingerprints=fingerprints,
-            remaining_s=self._policy.evidence_s,
+            remaining_s=self._policy.evidence_lifetime_s,
         )
         self._merge((report,), now_s)
         reports_by_id = {
@@ -191,7 +193,7 @@
 
     def _build_refusal(self, event, now_s):
         reports = self._evidence.reports_about(event.fingerprint, now_s=now_s)
-        return decisions.RefuseForGood(
+        return decisions.RefusePermanently(
             call_id=event.call_id,
             fingerprint=event.fingerprint,
             crashes=len(reports),
--- a/packages/savoryyoke/savoryyoke/quarantine/conf.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/conf.py
@@ -26,10 +26,13 @@
     reaches no other process uses ``crashes_to_quarantine_without_peers``
     instead. If ``total_crashes_to_quarantine`` is set, that many crashes are
     enough even if they can be attributed to others: several fatal requests
-    that always run at the same time would otherwise hide each other. Evidence
-    expires ``evidence_s`` after the crash and is no longer shared during its
-    last ``silent_s``. A success clears a request of the crashes that are
-    recorded by then or reported within ``success_retention_s`` after it.
+    that always run at the same time would otherwise hide each other.
+
+    Evidence expires ``evidence_lifetime_s`` after the crash. It is no longer
+    shared during the last ``stop_sharing_before_expiry_s`` of that time, so
+    that a delayed message does not restore it elsewhere. A success clears a
+    request of the crashes that are recorded by then or reported within
+    ``success_retention_s`` after it.
 
     An entry retries a quarantined request ``retrial_s`` after its last crash.
     Each further crash doubles that time, up to ``max_retrial_s``. A retrial
@@ -46,8 +49,8 @@
     crashes_to_quarantine: int = 3
     crashes_to_quarantine_without_peers: int = 2
     total_crashes_to_quarantine: int | None = None
-    evidence_s: float = 3600.0
-    silent_s: float = 10.0
+    evidence_lifetime_s: float = 3600.0
+    stop_sharing_before_expiry_s: float = 10.0
     success_retention_s: float = 30.0
     crash_limit: int = 256
     success_limit: int = 4096
--- a/packages/savoryyoke/savoryyoke/quarantine/decisions.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/decisions.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RefuseForGood:
+class RefusePermanently:
     """Refuse a call that did not run and must not be sent again."""
 
     call_id: str
@@ -37,15 +37,15 @@
     """Don't send the request to targets that run one of ``releases``.
 
     ``crashes`` is the number of its crashes, and ``retry_after_s`` the
-    seconds until it may be tried there again. If ``includes_others`` is true,
-    it must not be sent to any other release either.
+    seconds until it may be tried there again. If ``includes_other_releases``
+    is true, it must not be sent to any other release either.
     """
 
     fingerprint: bytes
     releases: frozenset[str]
     crashes: int
     retry_after_s: float
-    includes_others: bool = False
+    includes_other_releases: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/packages/savoryyoke/savoryyoke/quarantine/detection.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/detection.py
@@ -27,8 +27,8 @@
     target's incarnation, so that all entries use the same id.
     """
 
-    def __init__(self, *, evidence_s):
-        self._evidence_s = evidence_s
+    def __init__(self, *, report_lifetime_s):
+        self._report_lifetime_s = report_lifetime_s
         self._listed_targets_by_id = {}
         self._lost_tries_by_incarnation = collections.defaultdict(
             lambda: collections.deque(maxlen=conf.MAX_LOST_TRIES_PER_TARGET)
@@ -105,7 +105,7 @@
             fingerprints=frozenset(
                 lost_try.fingerprint for lost_try in lost_tries
             ),
-            remaining_s=self._evidence_s,
+            remaining_s=self._report_lifetime_s,
             release=target.release,
         )
         return (report,)
--- a/packages/savoryyoke/savoryyoke/quarantine/events.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/events.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class PeersHeard:
+class PeersCounted:
     """Report how many other processes exchange evidence with this one."""
 
     count: int
--- a/packages/savoryyoke/savoryyoke/quarantine/evidence.py
+++ b/packages/savoryyoke/savoryyoke/quarantine/evidence.py
@@ -89,7 +89,9 @@
         """Merge a report; return whether it contained anything new."""
         if report.remaining_s <= 0:
             return False
-        expires_s = now_s + min(report.remaining_s, self._policy.evidence_s)
+        expires_s = now_s + min(
+            report.remaining_s, self._policy.evidence_lifetime_s
+        )
         crash = self._crashes_by_id.get(report.crash_id)
         if crash is None:
             crash = self._add_crash(report.crash_id, expires_s)
@@ -131,7 +133,7 @@
             )
         return self._status_by_fingerprint.get(fingerprint, Status.CLEAR)
 
-    def record(self, fingerprint):
+    def summarize_crashes(self, fingerprint):
         """Return the summary for a request, or None without crashes."""
         crashes = [
             self._crashes_by_id[crash_id]
@@ -144,7 +146,7 @@
             releases=frozenset(crash.release for crash in crashes),
             crashes=len(crashes),
             last_crash_s=max(crash.expires_s for crash in crashes)
-            - self._policy.evidence_s,
+            - self._policy.evidence_lifetime_s,
         )
 
     def quarantined(self):
@@ -247,7 +249,9 @@
         self._digest = None
 
     def _is_shared(self, crash, now_s):
-        return crash.expires_s - now_s > self._policy.silent_s
+        return (
+            crash.expires_s - now_s > self._policy.stop_sharing_before_expiry_s
+        )
 
     def _compute_digest(self, crash_ids):
         digest = hashlib.blake2b(digest_size=8)
--- a/packages/savoryyoke/tests/quarantine/test_detection.py
+++ b/packages/savoryyoke/tests/quarantine/test_detection.py
@@ -25,7 +25,7 @@
 
 class CrashDetectorTests(unittest.TestCase):
     def setUp(self):
-        self.detector = detection.CrashDetector(evidence_s=3600.0)
+        self.detector = detection.CrashDetector(report_lifetime_s=3600.0)
         self.publish_targets(TARGET)
 
     def apply(self, event, *, now_s=0.0):
--- a/packages/savoryyoke/tests/quarantine/test_evidence.py
+++ b/packages/savoryyoke/tests/quarantine/test_evidence.py
@@ -101,16 +101,23 @@
                 _check_order(mutant, reports)
 
     def test_evidence_is_limited_and_expires_in_all_processes(self):
-        self.assertEqual(0, self._count_unexpired_crashes(silent_s=10.0))
+        self.assertEqual(
+            0, self._count_unexpired_crashes(stop_sharing_before_expiry_s=10.0)
+        )
         # Mutant: delayed messages restore expired evidence.
-        self.assertGreater(self._count_unexpired_crashes(silent_s=0.0), 0)
+        self.assertGreater(
+            self._count_unexpired_crashes(stop_sharing_before_expiry_s=0.0), 0
+        )
 
-    def _count_unexpired_crashes(self, *, silent_s):
+    def _count_unexpired_crashes(self, *, stop_sharing_before_expiry_s):
         """Return the number of crashes long after their expiry.
 
         Two processes exchange reports with a delay of 5 s.
         """
-        policy = conf.QuarantinePolicy(crash_limit=5, silent_s=silent_s)
+        policy = conf.QuarantinePolicy(
+            crash_limit=5,
+            stop_sharing_before_expiry_s=stop_sharing_before_expiry_s,
+        )
         first_process, second_process = (
             evidence.Evidence(policy=policy) for _ in range(2)
         )
--- a/packages/savoryyoke/tests/quarantine/test_quarantine.py
+++ b/packages/savoryyoke/tests/quarantine/test_quarantine.py
@@ -58,7 +58,7 @@
         (refusal,) = self.second_target.apply(
             _build_run_request('again', _POISON), now_s=0.0
         )
-        self.assertIsInstance(refusal, decisions.RefuseForGood)
+        self.assertIsInstance(refusal, decisions.RefusePermanently)
         self.assertEqual(2, refusal.crashes)
 
     def test_target_runs_one_suspect_at_a_time(self):
--- a/packages/savoryyoke/tests/quarantine/test_withholding.py
+++ b/packages/savoryyoke/tests/quarantine/test_withholding.py
@@ -18,7 +18,7 @@
     return evidence.CrashReport(
         crash_id=f'crash-{number}',
         fingerprints=frozenset(contents or {FATAL}),
-        remaining_s=POLICY.evidence_s,
+        remaining_s=POLICY.evidence_lifetime_s,
         release=release,
     )
 
@@ -26,7 +26,7 @@
 class WithholdingCase(unittest.TestCase):
     def setUp(self):
         self.quarantine = aggregates.Quarantine(policy=POLICY)
-        self.apply(events.PeersHeard(count=3))
+        self.apply(events.PeersCounted(count=3))
 
     def apply(self, event, now_s=0.0):
         return self.quarantine.apply(event, now_s=now_s)
@@ -66,11 +66,11 @@
 
     def test_entry_without_peers_withholds_after_two_crashes(self):
         self.crash(1, 2)
-        self.apply(events.PeersHeard(count=0))
+        self.apply(events.PeersCounted(count=0))
         self.assert_withheld('v1')
 
     def test_one_crash_withholds_nothing_even_without_peers(self):
-        self.apply(events.PeersHeard(count=0))
+        self.apply(events.PeersCounted(count=0))
         self.crash(1)
         self.assert_routed()
 
@@ -112,15 +112,15 @@
         self.assert_withheld('v1', 'v2')
 
     def test_each_further_release_is_tried_later(self):
-        self.assertFalse(self.offer().includes_others)
+        self.assertFalse(self.offer().includes_other_releases)
         self.crash(4, release='v2')
         wait_s = POLICY.release_trial_s
-        self.assertTrue(self.offer(now_s=wait_s - 1.0).includes_others)
-        self.assertFalse(self.offer(now_s=wait_s).includes_others)
+        self.assertTrue(self.offer(now_s=wait_s - 1.0).includes_other_releases)
+        self.assertFalse(self.offer(now_s=wait_s).includes_other_releases)
         self.crash(5, release='v3', now_s=wait_s)
         late_s = 3 * wait_s
-        self.assertTrue(self.offer(now_s=late_s - 1.0).includes_others)
-        self.assertFalse(self.offer(now_s=late_s).includes_others)
+        self.assertTrue(self.offer(now_s=late_s - 1.0).includes_other_releases)
+        self.assertFalse(self.offer(now_s=late_s).includes_other_releases)
 
     def test_success_on_another_release_clears_only_that_release(self):
         self.crash(4, release='v2')
@@ -186,7 +186,10 @@
         digest_before = self.digest()
         self.apply(events.CallSucceeded(fingerprint=FATAL, release='v1'))
         self.assertNotEqual(digest_before, self.digest())
-        late_s = POLICY.evidence_s - POLICY.silent_s / 2
+        late_s = (
+            POLICY.evidence_lifetime_s
+            - POLICY.stop_sharing_before_expiry_s / 2
+        )
         self.assertEqual(empty_digest, self.digest(late_s))
 
 
--- a/packages/savoryyoke/tests/quarantine/world.py
+++ b/packages/savoryyoke/tests/quarantine/world.py
@@ -62,7 +62,9 @@
     def __init__(self, *, number, now_s):
         self.number = number
         self.started_s = now_s
-        self.detector = detection.CrashDetector(evidence_s=POLICY.evidence_s)
+        self.detector = detection.CrashDetector(
+            report_lifetime_s=POLICY.evidence_lifetime_s
+        )
         self.quarantine = aggregates.Quarantine(policy=POLICY)
 
     def handle_event(self, event, now_s):
@@ -237,7 +239,7 @@
                 for target in available
                 if target.description.release not in withheld
             ]
-            if decision.includes_others or not available:
+            if decision.includes_other_releases or not available:
                 self.refused[content] += 1
                 self._schedule_next_request(kind)
                 return
@@ -291,7 +293,7 @@
             if peer is not entry
             and self._is_connected(number, peer.number, self.now_s)
         ]
-        peers_counted = events.PeersHeard(count=len(peers))
+        peers_counted = events.PeersCounted(count=len(peers))
         entry.quarantine.apply(peers_counted, now_s=self.now_s)
         digest = entry.quarantine.evidence.digest(now_s=self.now_s)
         if all(
--- a/tools/measure/crash_requests.py
+++ b/tools/measure/crash_requests.py
@@ -121,7 +121,7 @@
             call_id=call.call_id, fingerprint=call.fingerprint
         )
         (made,) = self._apply(self._entries[call.entry], offered)
-        if isinstance(made, decisions.RefuseForGood):
+        if isinstance(made, decisions.RefusePermanently):
             return None
         if isinstance(made, decisions.Route):
             return targets
@@ -139,7 +139,7 @@
             reports=call.reports,
         )
         made = self._apply(self._targets[target], requested)[-1]
-        if isinstance(made, decisions.RefuseForGood):
+        if isinstance(made, decisions.RefusePermanently):
             return Reply.REFUSE
         if isinstance(made, decisions.Run):
             return Reply.RUN
--- a/tools/measure/overload_costs.py
+++ b/tools/measure/overload_costs.py
@@ -76,7 +76,7 @@
         report = evidence.CrashReport(
             crash_id=f'target-{crash}',
             fingerprints=frozenset(members | {b'poison'}),
-            remaining_s=policy.evidence_s,
+            remaining_s=policy.evidence_lifetime_s,
         )
         known.merge(report, now_s=0.0)
     held_mb = tracemalloc.get_traced_memory()[0] / 1e6
