--- a/packages/savoryyoke/tests/admission/test_decisions.py
+++ b/packages/savoryyoke/tests/admission/test_decisions.py
@@ -109,7 +109,7 @@
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     @hypothesis.given(steps=_STEPS)
-    def test_each_arrival_gets_one_decision_within_the_limit(self, steps):
+    def test_each_arrival_gets_one_within_the_limit(self, steps):
         _check_one_final_decision(aggregates.Admission, steps)
 
     def test_mutants_are_caught(self):
--- a/packages/savoryyoke/tests/admission/test_fairness.py
+++ b/packages/savoryyoke/tests/admission/test_fairness.py
@@ -101,9 +101,7 @@
             strategies.sampled_from([0.5, 1.0, 3.0]), min_size=3, max_size=3
         ),
     )
-    def test_shares_differ_by_at_most_one_call_of_each_team(
-        self, costs, weights
-    ):
+    def test_shares_stay_within_one_call_of_each_team(self, costs, weights):
         names = [f'team-{number}' for number in range(len(costs))]
         _check_against_fluid(
             queues.FairQueue,
@@ -122,9 +120,9 @@
         queue = queues.FairQueue()
         for number in range(100):
             urgent = _build_arrival('t', f'urgent-{number}', priority=1)
-            queue.push(_queue_arrival(urgent, arrived_s=float(number)))
+            queue.push(_build_queued_arrival(urgent, arrived_s=float(number)))
         queue.push(
-            _queue_arrival(
+            _build_queued_arrival(
                 _build_arrival('t', 'patient', priority=0), arrived_s=0.0
             )
         )
@@ -141,7 +139,7 @@
     )
 
 
-def _queue_arrival(call, arrived_s):
+def _build_queued_arrival(call, arrived_s):
     return queues.QueuedCall(
         call_id=call.call_id,
         team=call.team,
--- a/packages/savoryyoke/tests/admission/test_warmup.py
+++ b/packages/savoryyoke/tests/admission/test_warmup.py
@@ -87,13 +87,10 @@
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=50)
     @hypothesis.given(
-        calls_before=strategies.integers(0, 60),
-        calls_after=strategies.integers(0, 60),
+        before=strategies.integers(0, 60), after=strategies.integers(0, 60)
     )
-    def test_only_successes_since_a_restart_raise_the_limit(
-        self, calls_before, calls_after
-    ):
-        _check_restart(warmup.ConcurrencyLimit, calls_before, calls_after)
+    def test_restart_leaves_only_what_was_proved_since(self, before, after):
+        _check_restart(warmup.ConcurrencyLimit, before, after)
 
     def test_restart_mutant_is_caught(self):
         with self.assertRaises(AssertionError):
--- a/packages/savoryyoke/tests/quarantine/test_evidence.py
+++ b/packages/savoryyoke/tests/quarantine/test_evidence.py
@@ -153,7 +153,7 @@
         )
 
 
-def _check_healthy_not_quarantined(batches, cleared):
+def _check_healthy_spared(batches, cleared):
     merged_evidence = evidence.Evidence(policy=_POLICY)
     for number, batch in enumerate(batches):
         merged_evidence.merge(
@@ -177,18 +177,16 @@
         cleared=_BATCHES,
     )
     def test_only_the_poison_request_is_quarantined(self, batches, cleared):
-        merged_evidence = _check_healthy_not_quarantined(batches, cleared)
+        known = _check_healthy_spared(batches, cleared)
         common = set.intersection(*batches) - cleared
         if not common:
             return
         # Requests that were in every crash cannot be distinguished until
         # they succeed.
-        self.assertIs(evidence.Status.SUSPECT, merged_evidence.status(_POISON))
+        self.assertIs(evidence.Status.SUSPECT, known.status(_POISON))
         for name in common:
-            merged_evidence.clear(name)
-        self.assertIs(
-            evidence.Status.QUARANTINED, merged_evidence.status(_POISON)
-        )
+            known.clear(name)
+        self.assertIs(evidence.Status.QUARANTINED, known.status(_POISON))
 
     def test_naive_version_is_caught(self):
         batch = set(_HEALTHY[:3])
@@ -196,7 +194,7 @@
             evidence, '_find_poison', _quarantine_frequent_requests
         ):
             with self.assertRaises(AssertionError):
-                _check_healthy_not_quarantined([batch, batch], set())
+                _check_healthy_spared([batch, batch], set())
 
     def test_explained_crash_clears_its_batch(self):
         merged_evidence = evidence.Evidence(policy=_POLICY)
--- a/packages/savoryyoke/tests/quarantine/test_fleet.py
+++ b/packages/savoryyoke/tests/quarantine/test_fleet.py
@@ -70,8 +70,8 @@
     def check_bound(self, fleet, fatal):
         """Check that requests that crash targets are no longer sent."""
         for content in fatal:
-            late = count_late(fleet, content)
-            self.assertLessEqual(late, MAX_LATE_ARRIVALS)
+            late_arrivals = count_late(fleet, content)
+            self.assertLessEqual(late_arrivals, MAX_LATE_ARRIVALS)
 
     def check_healthy(self, fleet, fatal):
         """Check that only fatal requests were refused."""
@@ -197,21 +197,25 @@
 
     def count_findings(self, kinds, **changes):
         """Return the counts of exceeded bounds and refused healthy calls."""
-        late = healthy = 0
+        late_arrivals = healthy = 0
         for seed in range(3):
             fleet = self.simulate(kinds, seed=seed, **changes)
             fatal = {kind.content for kind in kinds}
-            late += sum(count_late(fleet, content) > 3 for content in fatal)
+            late_arrivals += sum(
+                count_late(fleet, content) > 3 for content in fatal
+            )
             healthy += len(set(fleet.refused) - fatal)
-        return late, healthy
+        return late_arrivals, healthy
 
     def test_entries_that_share_no_reports(self):
         def prepare(fleet):
             fleet._loss_share = 1.0
 
         kinds = [build_fatal(0, pause_s=0.6)] * 2
-        late, _ = self.count_findings(kinds, prepare=prepare, entries=8)
-        self.assertGreater(late, 0)
+        late_arrivals, _ = self.count_findings(
+            kinds, prepare=prepare, entries=8
+        )
+        self.assertGreater(late_arrivals, 0)
 
     def test_no_quarantine(self):
         with (
@@ -224,8 +228,8 @@
                 lambda self, fingerprint: aggregates.evidence.Status.CLEAR,
             ),
         ):
-            late, _ = self.count_findings([build_fatal(0)])
-        self.assertEqual(3, late)
+            late_arrivals, _ = self.count_findings([build_fatal(0)])
+        self.assertEqual(3, late_arrivals)
 
     def test_all_requests_of_a_crash_are_quarantined(self):
         with unittest.mock.patch.object(
