--- a/tools/measure/overload_costs.py
+++ b/tools/measure/overload_costs.py
@@ -38,7 +38,7 @@
     own = [
         team
         for team in limits_by_team
-        if entry_ids[0] in limits.homes(team=team)
+        if entry_ids[0] in limits.home_entry_ids(team=team)
     ]
     for team in own:
         limits.apply(_limited_call(team), now_s=10.0)
@@ -76,7 +76,7 @@
         report = evidence.CrashReport(
             crash_id=f'target-{crash}',
             fingerprints=frozenset(members | {b'poison'}),
-            remaining_s=policy.evidence_s,
+            remaining_s=policy.evidence_lifetime_s,
         )
         known.merge(report, now_s=0.0)
     held_mb = tracemalloc.get_traced_memory()[0] / 1e6
