--- a/packages/savoryyoke/savoryyoke/routing/__init__.py
+++ b/packages/savoryyoke/savoryyoke/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choose the target of each request of one service."""
+"""Choose a target for each request to one service."""
--- a/packages/savoryyoke/savoryyoke/routing/calls.py
+++ b/packages/savoryyoke/savoryyoke/routing/calls.py
@@ -1,23 +1,27 @@
-"""Remember what was foreseen of a call when it was sent."""
+"""Record what was predicted for a call when it was sent."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """Hold a call in flight and what its target was believed to do."""
+    """Hold a call in flight and the predictions made when it was sent.
+
+    ``matched_digests`` counts the leading prefix digests that the target was
+    expected to have cached; ``predicted_wait_s`` is the expected wait.
+    """
 
     target_id: str
     incarnation: int
     priority: int
     team: str
     digests: tuple[bytes, ...]
-    matched: int
-    foreseen_wait_s: float
+    matched_digests: int
+    predicted_wait_s: float
 
 
-def start_call(dispatched, *, state, beliefs, summary, settings, now_s):
-    """Return the call of a `Dispatched` event."""
+def start_call(dispatched, *, state, prefix_index, summary, settings, now_s):
+    """Return the `Call` for a `Dispatched` event."""
     digests = dispatched.prefix_digests[: settings.digests_limit]
     load = state.estimate_load(
         mean_occupancy=summary.mean_occupancy, now_s=now_s
@@ -28,10 +32,10 @@
         priority=dispatched.priority,
         team=dispatched.team,
         digests=digests,
-        matched=beliefs.count_matched(
+        matched_digests=prefix_index.count_matched(
             target_id=state.target_id, digests=digests
         ),
-        foreseen_wait_s=state.estimate_wait(
+        predicted_wait_s=state.estimate_wait(
             load, call_s=summary.mean_call_s, now_s=now_s
         ),
     )
--- a/packages/savoryyoke/savoryyoke/routing/choices.py
+++ b/packages/savoryyoke/savoryyoke/routing/choices.py
@@ -1,4 +1,4 @@
-"""Choose among a few candidate targets of a service."""
+"""Choose the best of a few candidate targets of a service."""
 
 from savoryyoke.routing import decisions
 from savoryyoke.routing import finders
@@ -6,51 +6,60 @@
 
 
 class Chooser:
-    """Make one choice from the state of a router."""
-
-    def __init__(self, *, registry, beliefs, draws, summary, settings, now_s):
+    """Choose a target once, from the current state of a router."""
+
+    def __init__(
+        self,
+        *,
+        registry,
+        prefix_index,
+        random_source,
+        summary,
+        settings,
+        now_s,
+    ):
         self._registry = registry
-        self._beliefs = beliefs
-        self._draws = draws
+        self._prefix_index = prefix_index
+        self._random_source = random_source
         self._summary = summary
         self._settings = settings
         self._now_s = now_s
         self._lowest_wait_s = None
-        self._unproven = False
+        self._ignore_slow_start = False
 
     def choose(self, request):
         """Return `Chosen` or `NoTarget` for a request."""
         usable = self._registry.get_usable()
         if not usable:
-            return self._refuse_all_out()
+            return self._refuse_without_usable()
         digests = request.prefix_digests[: self._settings.digests_limit]
         finder = finders.CandidateFinder(
             registry=self._registry,
-            beliefs=self._beliefs,
-            draws=self._draws,
+            prefix_index=self._prefix_index,
+            random_source=self._random_source,
             summary=self._summary,
             settings=self._settings,
             now_s=self._now_s,
         )
-        found = finder.find(request, digests=digests)
-        candidates = self._score_all(found, request, digests=digests)
+        found_by_id = finder.find(request, digests=digests)
+        candidates = self._score_all(found_by_id, request, digests=digests)
         if not candidates:
             candidates = self._scan(request, digests=digests)
         if not candidates:
-            # Slow starts spread work; they are no reason to refuse it.
-            self._unproven = True
+            # Slow start only spreads calls; it must not cause a refusal.
+            self._ignore_slow_start = True
             candidates = self._scan(request, digests=digests)
         if not candidates:
             return self._refuse(request)
         return self._pick(candidates)
 
     def choose_queue(self, request):
-        """Return the target with the shortest wait, room or not.
+        """Return `Chosen` for the shortest wait, or `NoTarget`.
 
-        Targets that no report has told of, or that have refused such work
-        a moment ago, are left out. Whether the wait is too long is for the
-        target to say: reports tell of its whole queue, not of a team's
-        place in it.
+        The target may be full. Targets without a load report and targets
+        that the request must avoid after a refusal are left out. The
+        request's deadline is not checked: a report covers the whole queue,
+        and only the target can tell how long the calls of one team wait.
         """
         waits_s = {
             state.target_id: self._estimate_wait(state)
@@ -90,15 +99,15 @@
 
     def _scan(self, request, *, digests):
         reason = decisions.ChoiceReason.SCANNED
-        found = {
+        found_by_id = {
             state.target_id: (state, reason)
             for state in self._registry.get_usable()
         }
-        return self._score_all(found, request, digests=digests)
+        return self._score_all(found_by_id, request, digests=digests)
 
-    def _score_all(self, found, request, *, digests):
+    def _score_all(self, found_by_id, request, *, digests):
         candidates = []
-        for state, reason in found.values():
+        for state, reason in found_by_id.values():
             if not self._may_serve(state, request):
                 continue
             candidate = self._score(
@@ -114,7 +123,7 @@
         return state.serves(request.model)
 
     def _score(self, state, request, *, digests, reason):
-        """Return a candidate, or None where the target has no room."""
+        """Return a candidate, or None if the target can't take the call."""
         load = self._estimate_load(state)
         wait_s = state.estimate_wait(
             load, call_s=self._summary.mean_call_s, now_s=self._now_s
@@ -124,14 +133,14 @@
             team=request.team,
             priority=request.priority,
             now_s=self._now_s,
-            unproven=self._unproven,
+            ignore_slow_start=self._ignore_slow_start,
         ):
             return None
         if self._lowest_wait_s is None or wait_s < self._lowest_wait_s:
             self._lowest_wait_s = wait_s
         if wait_s > request.remaining_s:
             return None
-        matched = self._beliefs.count_matched(
+        matched_digests = self._prefix_index.count_matched(
             target_id=state.target_id, digests=digests
         )
         score_s = scoring.score_target(
@@ -140,8 +149,8 @@
             wait_s=wait_s,
             saving_s=self._estimate_saving(
                 state,
-                matched=matched,
-                missing=len(digests) - matched,
+                matched_digests=matched_digests,
+                unmatched=len(digests) - matched_digests,
                 reason=reason,
             ),
             summary=self._summary,
@@ -154,26 +163,28 @@
             target_id=state.target_id,
             score_s=score_s,
             wait_s=wait_s,
-            matched_digests=matched,
+            matched_digests=matched_digests,
             reason=reason,
         )
 
-    def _estimate_saving(self, state, *, matched, missing, reason):
-        """Return what the target's cache is expected to save, in seconds.
+    def _estimate_saving(self, state, *, matched_digests, unmatched, reason):
+        """Return the time that the prefix cache may save, in seconds.
 
-        The affine target may well hold what no event has told of.
+        The target chosen by affinity may also have cached digests that no
+        cache event has reported.
         """
-        likely = 0.0
-        if matched:
-            likely = matched * self._beliefs.get_confidence(
-                target_id=state.target_id
+        expected_hits = 0.0
+        if matched_digests:
+            expected_hits = (
+                matched_digests
+                * self._prefix_index.get_confidence(target_id=state.target_id)
             )
         saving_s = 0.0
         if reason is decisions.ChoiceReason.AFFINITY:
-            likely += missing * self._settings.affinity_trust
+            expected_hits += unmatched * self._settings.affinity_hit_ratio
             saving_s = self._settings.affinity_bonus_s
         return saving_s + scoring.estimate_saving(
-            likely, settings=self._settings
+            expected_hits, settings=self._settings
         )
 
     def _pick(self, candidates):
@@ -182,22 +193,22 @@
             self._settings.near_equal_s,
             abs(best_s) * self._settings.near_equal_ratio,
         )
-        near = [
+        near_equal = [
             candidate
             for candidate in candidates
             if candidate.score_s <= best_s + slack_s
         ]
-        picked = self._draws.pick(near)
-        state = self._registry.get(picked.target_id)
+        choice = self._random_source.choose_item(near_equal)
+        state = self._registry.get(choice.target_id)
         return decisions.Chosen(
             target_id=state.target_id,
             incarnation=state.incarnation,
             address=state.address,
-            reason=picked.reason,
+            reason=choice.reason,
             candidates=tuple(candidates),
         )
 
-    def _refuse_all_out(self):
+    def _refuse_without_usable(self):
         reason = decisions.NoTargetReason.ALL_OUT
         if not len(self._registry):
             reason = decisions.NoTargetReason.NO_TARGETS
@@ -207,30 +218,33 @@
 
     def _refuse(self, request):
         usable = self._registry.get_usable()
-        left = [
+        remaining = [
             state
             for state in usable
             if state.target_id not in request.excluded_target_ids
         ]
         reason = decisions.NoTargetReason.OVERLOADED
-        if not left:
+        if not remaining:
             reason = decisions.NoTargetReason.ALL_EXCLUDED
-        elif not any(state.serves(request.model) for state in left):
+        elif not any(state.serves(request.model) for state in remaining):
             reason = decisions.NoTargetReason.NOT_LOADED
         elif self._lowest_wait_s is not None:
             reason = decisions.NoTargetReason.DEADLINE
-        elif all(state.is_cold for state in left):
+        elif all(state.is_cold for state in remaining):
             reason = decisions.NoTargetReason.ALL_COLD
         return decisions.NoTarget(
-            reason=reason, retry_after_s=self._estimate_retry(left)
+            reason=reason, retry_after_s=self._estimate_retry(remaining)
         )
 
     def _estimate_retry(self, states):
-        """Return when room is expected, spread so that callers differ."""
+        """Return the time until capacity is expected, in seconds.
+
+        The time is randomised, so that callers don't all retry at once.
+        """
         settings = self._settings
         waits_s = [self._estimate_wait(state) for state in states]
         retry_s = max(
             settings.retry_after_minimum_s, min(waits_s, default=0.0)
         )
         retry_s = min(retry_s, settings.retry_after_limit_s)
-        return retry_s * (1.0 + 0.5 * self._draws.draw())
+        return retry_s * (1.0 + 0.5 * self._random_source.next_float())
--- a/packages/savoryyoke/savoryyoke/routing/conf.py
+++ b/packages/savoryyoke/savoryyoke/routing/conf.py
@@ -1,4 +1,4 @@
-"""Hold the defaults of routing."""
+"""Define the settings of routing and their defaults."""
 
 import dataclasses
 
@@ -8,12 +8,12 @@
     """Hold the limits and weights of a router.
 
     ``occupancy_limits`` gives, by priority from the least important, the
-    load that a target may carry, as a multiple of its own limit.
+    highest load of a target as a multiple of its concurrency limit.
     """
 
     # Connections.
     subset_size: int = 40
-    minimum_sharers: int = 3
+    minimum_entries_per_target: int = 3
     near_share: float = 0.5
 
     # Sampling.
@@ -43,7 +43,7 @@
     block_prefill_s: float = 0.005
     prefix_saving_limit_s: float = 0.3
     affinity_bonus_s: float = 0.01
-    affinity_trust: float = 0.5
+    affinity_hit_ratio: float = 0.5
     kv_pressure_below_ratio: float = 0.1
     kv_pressure_penalty_s: float = 0.3
     latency_weight: float = 0.2
@@ -54,23 +54,23 @@
 
     # Cold targets.
     cold_rotation_s: float = 1.0
-    # By priority: the share of requests that look for a cold target first.
+    # Share of requests, by priority, that try a cold target first.
     warm_up_shares: tuple[float, ...] = (1.0, 1.0, 0.1, 0.0)
     warm_up_bonus_s: float = 2.0
     unknown_limit: int = 1
 
-    # Prefix beliefs.
-    beliefs_limit: int = 2000
+    # Index of prefix caches.
+    cached_digests_limit: int = 2000
     digests_limit: int = 64
     confidence_weight: float = 0.2
-    answer_trust_s: float = 60.0
+    answer_confirmation_s: float = 60.0
 
     # Refusals.
     occupancy_limits: tuple[float, ...] = (1.0, 1.5, 2.0, 3.0)
     retry_after_out_s: float = 5.0
     retry_after_minimum_s: float = 0.5
     retry_after_limit_s: float = 30.0
-    hold_off_limit_s: float = 5.0
+    back_off_limit_s: float = 5.0
 
     # Bindings of idempotency keys.
     binding_lifetime_s: float = 2.0
--- a/packages/savoryyoke/savoryyoke/routing/decisions.py
+++ b/packages/savoryyoke/savoryyoke/routing/decisions.py
@@ -1,4 +1,4 @@
-"""Define what a router answers and decides."""
+"""Define the requests, results and decisions of a router."""
 
 import dataclasses
 import enum
@@ -25,7 +25,7 @@
 
 
 class ChoiceReason(enum.Enum):
-    """Tell what brought the chosen target among the candidates."""
+    """Tell why a target became a candidate."""
 
     PREFIX = 'prefix'
     AFFINITY = 'affinity'
@@ -63,11 +63,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """Hold the score of one target that was considered.
+    """Hold the score of one candidate target.
 
     ``score_s`` is the expected time to the first token, in seconds, less
-    the bonus for affinity. ``matched_digests`` counts prefix digests that
-    the target is believed to hold.
+    the bonuses for affinity and warm-up; the lowest is best. ``wait_s`` is
+    the expected wait. ``matched_digests`` counts the leading prefix digests
+    that the target is expected to have cached.
     """
 
     target_id: str
@@ -79,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Chosen:
-    """Name the target of a request and what it was chosen from."""
+    """Name the target of a request and all candidates."""
 
     target_id: str
     incarnation: int
@@ -90,9 +91,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoTarget:
-    """Refuse a request for which no target may be used.
+    """Refuse a request for which no target is available.
 
-    The request did not run. ``retry_after_s`` tells when to come back.
+    The request did not run. The caller may retry after ``retry_after_s``
+    seconds.
     """
 
     reason: NoTargetReason
@@ -101,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Binding:
-    """Offer a target incarnation to bind new idempotency keys to."""
+    """Name a target incarnation that new idempotency keys may be bound to."""
 
     target_id: str
     incarnation: int
@@ -111,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EventRejected:
-    """Report an event that changed nothing."""
+    """Report an event that was rejected and changed nothing."""
 
     event_name: str
     subject_id: str
@@ -120,15 +122,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SubsetChanged:
-    """Tell which targets to connect to and to disconnect from."""
+    """List the ids of targets to connect to and to disconnect from."""
 
     connect: tuple[str, ...] = ()
     disconnect: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class BeliefsDropped:
-    """Report that beliefs about a target's prefix cache were dropped."""
+class PrefixDigestsDropped:
+    """Report that digests of a target were dropped from the index."""
 
     target_id: str
     count: int
--- a/packages/savoryyoke/savoryyoke/routing/draws.py
+++ b/packages/savoryyoke/savoryyoke/routing/draws.py
@@ -1,21 +1,21 @@
-"""Draw random numbers from a generator that the caller seeds."""
+"""Provide random numbers from a generator that the caller seeds."""
 
-_DRAWS_PER_BATCH = 1024
+_NUMBERS_PER_BATCH = 1024
 
 
-class Draws:
-    """Draw random numbers from a seeded generator, in batches."""
+class RandomSource:
+    """Read random numbers from a NumPy generator, in batches."""
 
     def __init__(self, *, generator):
         self._generator = generator
         self._values = []
 
-    def draw(self):
-        """Return a number from 0 up to but not including 1."""
+    def next_float(self):
+        """Return a random number from 0 up to but not including 1."""
         if not self._values:
-            self._values = self._generator.random(_DRAWS_PER_BATCH).tolist()
+            self._values = self._generator.random(_NUMBERS_PER_BATCH).tolist()
         return self._values.pop()
 
-    def pick(self, items):
-        """Return one of the items of a sequence."""
-        return items[int(self.draw() * len(items))]
+    def choose_item(self, items):
+        """Return a random item of a sequence."""
+        return items[int(self.next_float() * len(items))]
--- a/packages/savoryyoke/savoryyoke/routing/events.py
+++ b/packages/savoryyoke/savoryyoke/routing/events.py
@@ -1,11 +1,11 @@
-"""Define what a router learns, one class for each event."""
+"""Define the events that change the state of a router."""
 
 import dataclasses
 import enum
 
 
 class DataCentreState(enum.Enum):
-    """Tell whether a data centre may get new work."""
+    """Tell whether a data centre may get new calls."""
 
     IN = 'in'
     OUT = 'out'
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetLeaving:
-    """Report that an incarnation of a target takes no new work."""
+    """Report that an incarnation of a target accepts no new calls."""
 
     target_id: str
     incarnation: int
@@ -76,7 +76,8 @@
 
     ``stamp_s`` is read from the sender's monotonic clock, in seconds, and
     orders the reports of one incarnation. ``running`` and ``queued`` count
-    calls; ``limit`` counts the calls that the target runs at once.
+    calls; ``limit`` is the number of calls that the target runs at once.
+    ``kv_free_ratio`` is the free share of its key-value cache, 0 to 1.
     """
 
     target_id: str
@@ -108,7 +109,7 @@
     """Report changes of a target's prefix cache.
 
     ``sequence`` grows by one for each event of an incarnation. ``reset``
-    tells that the cache was emptied before ``added`` entered it.
+    is true if the cache was emptied before ``added`` was inserted.
     """
 
     target_id: str
@@ -121,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DataCentreStateChanged:
-    """Report that operators took a data centre out or brought it back."""
+    """Report that operators took a data centre out or put it back in."""
 
     data_centre: str
     state: DataCentreState
@@ -129,7 +130,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PeersChanged:
-    """Report the entries of the fleet, this one included."""
+    """Report all entries of the fleet, including this one."""
 
     data_centres_by_entry_id: dict[str, str]
 
@@ -138,7 +139,7 @@
 class Dispatched:
     """Report that this entry sent a call to a target.
 
-    ``cost`` is the work of the call in units of a usual call.
+    ``cost`` is the expected work, as a multiple of an average call.
     """
 
     call_id: str
@@ -153,8 +154,9 @@
 class FirstToken:
     """Report the first token of a call's answer.
 
-    ``cached_digests`` counts the leading prefix digests that the target
-    found in its cache, or is None where the answer does not tell.
+    ``latency_s`` counts from the dispatch. ``cached_digests`` counts the
+    leading prefix digests that the target found in its cache, or is None
+    if the answer has no such count.
     """
 
     call_id: str
@@ -166,7 +168,7 @@
 class Completed:
     """Report the end of a call; ``latency_s`` counts from its dispatch.
 
-    ``token_s`` is the mean time between tokens, None where not known.
+    ``token_s`` is the mean time between tokens in seconds, or None.
     """
 
     call_id: str
@@ -189,7 +191,7 @@
 class ConfigurationApplied:
     """Report the configuration in force.
 
-    ``distances_s_by_data_centre`` gives the one-way delay from this entry.
+    ``distances_s_by_data_centre`` gives one-way delays from this entry.
     An older ``revision`` than the one in force is rejected.
     """
 
--- a/packages/savoryyoke/savoryyoke/routing/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/routing/exceptions.py
@@ -6,8 +6,8 @@
 
 
 class UnknownEvent(RoutingError):
-    """Report an event that the router has no rule for."""
+    """Report an event of a type that the router does not handle."""
 
     def __init__(self, *, event):
-        super().__init__(f'no rule for {type(event).__name__}')
+        super().__init__(f'unsupported event type {type(event).__name__}')
         self.event = event
--- a/packages/savoryyoke/savoryyoke/routing/prefixes.py
+++ b/packages/savoryyoke/savoryyoke/routing/prefixes.py
@@ -1,13 +1,14 @@
-"""Keep beliefs about which target caches which prompt prefixes."""
+"""Index which targets have cached which prompt prefixes."""
 
 import collections
 
 
-class PrefixBeliefs:
-    """Hold the believed contents of each target's prefix cache.
+class PrefixCacheIndex:
+    """Hold the expected contents of each target's prefix cache.
 
-    A belief only ever saves time: it is bounded in number, dropped when an
-    event is missing, and trusted as far as answers confirm it.
+    The index may be wrong; an error costs time but no call fails. It is
+    limited in size, its digests are dropped after a missing event, and they
+    are weighted by how often answers confirm them.
     """
 
     def __init__(self, *, settings):
@@ -18,123 +19,124 @@
         self._confidences_by_target_id = {}
 
     def apply_sequence(self, *, target_id, sequence):
-        """Record an event's sequence number.
+        """Record the sequence number of a cache event.
 
-        Return None for an old event, otherwise whether events are missing
-        between the last one and this one.
+        Return None for an old event, else whether events are missing
+        between the previous event and this one.
         """
-        last = self._sequences_by_target_id.get(target_id)
-        if last is not None and sequence <= last:
+        last_sequence = self._sequences_by_target_id.get(target_id)
+        if last_sequence is not None and sequence <= last_sequence:
             return None
         self._sequences_by_target_id[target_id] = sequence
-        return last is not None and sequence != last + 1
+        return last_sequence is not None and sequence != last_sequence + 1
 
     def add(self, *, target_id, digests, answered_at_s=None):
-        """Believe that a target caches the digests.
+        """Add digests that a target has cached.
 
-        ``answered_at_s`` tells when an answer showed it, None for an event.
+        ``answered_at_s`` is the time of the answer that showed this, or
+        None if a cache event reported it.
         """
-        believed = self._digests_by_target_id.setdefault(
+        cached = self._digests_by_target_id.setdefault(
             target_id, collections.OrderedDict()
         )
         for digest in digests:
-            if answered_at_s is not None or digest not in believed:
-                believed[digest] = answered_at_s
-            believed.move_to_end(digest)
+            if answered_at_s is not None or digest not in cached:
+                cached[digest] = answered_at_s
+            cached.move_to_end(digest)
             self._target_ids_by_digest.setdefault(digest, {})[target_id] = None
-        excess = len(believed) - self._settings.beliefs_limit
+        excess = len(cached) - self._settings.cached_digests_limit
         for _ in range(excess):
-            self._forget(target_id=target_id, digest=next(iter(believed)))
+            self._remove_digest(target_id=target_id, digest=next(iter(cached)))
 
     def remove(self, *, target_id, digests):
-        """Stop believing that a target caches the digests."""
-        believed = self._digests_by_target_id.get(target_id, {})
+        """Remove digests that a target no longer caches."""
+        cached = self._digests_by_target_id.get(target_id, {})
         for digest in digests:
-            if digest in believed:
-                self._forget(target_id=target_id, digest=digest)
+            if digest in cached:
+                self._remove_digest(target_id=target_id, digest=digest)
 
     def drop(self, *, target_id):
-        """Drop all beliefs about a target's cache; return their number."""
-        believed = self._digests_by_target_id.pop(target_id, {})
-        for digest in believed:
+        """Drop all digests of a target; return their number."""
+        cached = self._digests_by_target_id.pop(target_id, {})
+        for digest in cached:
             self._unindex(target_id=target_id, digest=digest)
-        return len(believed)
+        return len(cached)
 
-    def drop_unanswered(self, *, target_id, now_s):
-        """Drop the beliefs that no answer showed lately; return the number.
+    def drop_unconfirmed(self, *, target_id, now_s):
+        """Drop digests that no recent answer confirmed; return their number.
 
-        An event that was missed may have evicted any of them.
+        A missing event may have evicted any of them.
         """
-        believed = self._digests_by_target_id.get(target_id, {})
-        oldest_s = now_s - self._settings.answer_trust_s
+        cached = self._digests_by_target_id.get(target_id, {})
+        oldest_s = now_s - self._settings.answer_confirmation_s
         dropped = [
             digest
-            for digest, answered_at_s in believed.items()
+            for digest, answered_at_s in cached.items()
             if answered_at_s is None or answered_at_s < oldest_s
         ]
         self.remove(target_id=target_id, digests=dropped)
         return len(dropped)
 
     def drop_target(self, *, target_id):
-        """Drop everything known about a target; return the beliefs' number."""
+        """Drop all data of a target; return the number of its digests."""
         self._sequences_by_target_id.pop(target_id, None)
         self._confidences_by_target_id.pop(target_id, None)
         return self.drop(target_id=target_id)
 
     def count_matched(self, *, target_id, digests):
-        """Return how many leading digests a target is believed to hold."""
-        believed = self._digests_by_target_id.get(target_id)
-        if not believed:
+        """Return how many leading digests a target is expected to hold."""
+        cached = self._digests_by_target_id.get(target_id)
+        if not cached:
             return 0
         matched = 0
         for digest in digests:
-            if digest not in believed:
+            if digest not in cached:
                 break
             matched += 1
         return matched
 
-    def find_holders(self, *, digests):
-        """Return the targets believed to hold the longest known prefix."""
+    def find_targets(self, *, digests):
+        """Return the ids of the targets that hold the longest prefix."""
         for digest in reversed(digests):
-            holders = self._target_ids_by_digest.get(digest)
-            if holders:
-                return holders
+            target_ids = self._target_ids_by_digest.get(digest)
+            if target_ids:
+                return target_ids
         return ()
 
-    def find_rare(self, *, digests):
-        """Return the first digest that few targets are believed to hold.
+    def find_distinctive_digest(self, *, digests):
+        """Return the first digest that only a few targets hold.
 
-        A prefix that many requests share is held by many targets; what
-        follows it tells conversations apart.
+        Many targets hold a prefix that many requests share, such as a
+        system prompt; the digests after it distinguish conversations.
         """
         limit = self._settings.rare_holders_limit
         for digest in digests:
-            holders = self._target_ids_by_digest.get(digest, ())
-            if len(holders) <= limit:
+            target_ids = self._target_ids_by_digest.get(digest, ())
+            if len(target_ids) <= limit:
                 return digest
         return digests[-1]
 
     def get_confidence(self, *, target_id):
-        """Return how far beliefs about a target are trusted, 0 to 1."""
+        """Return the share of predictions that answers confirm, 0 to 1."""
         return self._confidences_by_target_id.get(target_id, 1.0)
 
-    def verify(self, *, target_id, expected, found):
-        """Compare an expected match with what the answer reported."""
-        if not expected:
+    def update_confidence(self, *, target_id, expected_count, found_count):
+        """Compare the predicted number of cached digests with the answer."""
+        if not expected_count:
             return
-        ratio = min(1.0, max(0, found) / expected)
+        ratio = min(1.0, max(0, found_count) / expected_count)
         confidence = self.get_confidence(target_id=target_id)
         weight = self._settings.confidence_weight
         self._confidences_by_target_id[target_id] = confidence + weight * (
             ratio - confidence
         )
 
-    def _forget(self, *, target_id, digest):
+    def _remove_digest(self, *, target_id, digest):
         del self._digests_by_target_id[target_id][digest]
         self._unindex(target_id=target_id, digest=digest)
 
     def _unindex(self, *, target_id, digest):
-        holders = self._target_ids_by_digest[digest]
-        del holders[target_id]
-        if not holders:
+        target_ids = self._target_ids_by_digest[digest]
+        del target_ids[target_id]
+        if not target_ids:
             del self._target_ids_by_digest[digest]
--- a/packages/savoryyoke/savoryyoke/routing/registry.py
+++ b/packages/savoryyoke/savoryyoke/routing/registry.py
@@ -1,4 +1,4 @@
-"""Hold the targets of a service and which of them may get work."""
+"""Track the targets of a service and which of them may get calls."""
 
 import dataclasses
 
@@ -9,99 +9,105 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Ended:
+class _RemovedTarget:
+    """Record the last incarnation of a removed target."""
+
     incarnation: int
     leaving: bool
-    until_s: float
+    expires_at_s: float
 
 
 class TargetRegistry:
-    """Track targets, data centres, peers and the connections they imply."""
+    """Track targets, data centres, entries and planned connections."""
 
     def __init__(self, *, entry_id, data_centre, settings):
         self._entry_id = entry_id
         self._data_centre = data_centre
         self._settings = settings
         self._states_by_id = {}
-        self._ended_by_id = {}
-        self._out = set()
+        self._removed_by_id = {}
+        self._excluded_data_centres = set()
         self._distances_s = {}
-        self._table = subsets.EntryTable(
+        self._entry_table = subsets.EntryTable(
             data_centres_by_entry_id={entry_id: data_centre}
         )
-        self._connected = set()
+        self._connected_ids = set()
         self._subset = ()
         self._subset_dirty = True
         self._usable = None
         self._ring = None
 
     def __len__(self):
-        """Return the number of known targets."""
+        """Return the number of targets."""
         return len(self._states_by_id)
 
     def get(self, target_id):
         """Return the state of a target, or None."""
         return self._states_by_id.get(target_id)
 
-    def see(self, seen, *, now_s):
-        """Take up a target; return its state and why it is rejected."""
-        self._forget_ended(now_s=now_s)
-        ended = self._ended_by_id.get(seen.target_id)
-        if ended is not None and seen.incarnation < ended.incarnation:
+    def add_target(self, event, *, now_s):
+        """Add a target or its new incarnation.
+
+        Return its state and the reason for a rejection, each may be None;
+        both are None for a repeated event.
+        """
+        self._remove_expired_tombstones(now_s=now_s)
+        removed = self._removed_by_id.get(event.target_id)
+        if removed is not None and event.incarnation < removed.incarnation:
             return None, decisions.RejectionReason.OLD_INCARNATION
-        known = self._states_by_id.get(seen.target_id)
-        if known is not None and seen.incarnation < known.incarnation:
+        current = self._states_by_id.get(event.target_id)
+        if current is not None and event.incarnation < current.incarnation:
             return None, decisions.RejectionReason.OLD_INCARNATION
-        if known is not None and seen.incarnation == known.incarnation:
+        if current is not None and event.incarnation == current.incarnation:
             return None, None
         state = targets.TargetState(
-            seen=seen,
-            distance_s=self._get_distance(seen.data_centre),
+            event=event,
+            distance_s=self._get_distance(event.data_centre),
             settings=self._settings,
         )
-        if ended is not None and seen.incarnation == ended.incarnation:
-            state.leaving = ended.leaving
-        self._states_by_id[seen.target_id] = state
-        if known is not None:
-            known.leaving = True
-        self._connected.discard(seen.target_id)
+        if removed is not None and event.incarnation == removed.incarnation:
+            state.leaving = removed.leaving
+        self._states_by_id[event.target_id] = state
+        if current is not None:
+            current.leaving = True
+        self._connected_ids.discard(event.target_id)
         self._subset_dirty = True
         self.refresh()
         return state, None
 
-    def end(self, state, *, now_s):
-        """Drop a target and remember its last incarnation.
+    def remove_target(self, state, *, now_s):
+        """Remove a target and record its last incarnation.
 
-        One that was lost from a list for a while may be seen again, but
-        never stops leaving.
+        The same incarnation may be added again, for example after it was
+        missing from a list, but one that was leaving stays so.
         """
-        self._ended_by_id.pop(state.target_id, None)
-        self._ended_by_id[state.target_id] = _Ended(
+        self._removed_by_id.pop(state.target_id, None)
+        self._removed_by_id[state.target_id] = _RemovedTarget(
             incarnation=state.incarnation,
             leaving=state.leaving,
-            until_s=now_s + self._settings.tombstone_lifetime_s,
+            expires_at_s=now_s + self._settings.tombstone_lifetime_s,
         )
         del self._states_by_id[state.target_id]
-        # A later choice must not see it, also without a new plan.
+        # Excludes it from choices before connections are planned again.
         state.leaving = True
         self._subset_dirty = True
         self.refresh()
 
-    def _forget_ended(self, *, now_s):
-        for target_id, ended in tuple(self._ended_by_id.items()):
-            if ended.until_s > now_s:
+    def _remove_expired_tombstones(self, *, now_s):
+        for target_id, removed in tuple(self._removed_by_id.items()):
+            if removed.expires_at_s > now_s:
                 break
-            del self._ended_by_id[target_id]
+            del self._removed_by_id[target_id]
 
     def set_peers(self, data_centres_by_entry_id):
-        """Take up the entries of the fleet."""
+        """Replace the entries of the fleet."""
         peers = {self._entry_id: self._data_centre}
         peers.update(data_centres_by_entry_id)
-        self._table = subsets.EntryTable(data_centres_by_entry_id=peers)
+        self._entry_table = subsets.EntryTable(data_centres_by_entry_id=peers)
         self._subset_dirty = True
 
     def set_distances(self, distances_s_by_data_centre):
-        """Take up the one-way delays to the data centres, in seconds."""
+        """Replace the one-way delays to the data centres, in seconds."""
         self._distances_s = dict(distances_s_by_data_centre)
         for state in self._states_by_id.values():
             state.distance_s = self._get_distance(state.data_centre)
@@ -113,15 +119,18 @@
         return self._distances_s.get(data_centre, default_s)
 
     def take_out(self, data_centre):
-        """Give no new work to a data centre."""
-        self._out.add(data_centre)
+        """Exclude a data centre from new calls."""
+        self._excluded_data_centres.add(data_centre)
         self.refresh()
 
     def bring_in(self, data_centre):
-        """Allow work to a data centre; return its targets' states."""
-        if data_centre not in self._out:
+        """Allow calls to a data centre again; return its targets' states.
+
+        The result is empty if the data centre was not excluded.
+        """
+        if data_centre not in self._excluded_data_centres:
             return ()
-        self._out.discard(data_centre)
+        self._excluded_data_centres.discard(data_centre)
         self.refresh()
         return tuple(
             state
@@ -131,25 +140,25 @@
 
     @property
     def data_centres_out(self):
-        """Return the names of the data centres that are out."""
-        return frozenset(self._out)
+        """Return the names of the excluded data centres."""
+        return frozenset(self._excluded_data_centres)
 
     def refresh(self):
-        """Recompute which targets are usable at the next query."""
+        """Discard the cached usable targets and the hash ring."""
         self._usable = None
         self._ring = None
 
     def is_usable(self, state):
-        """Return whether a target may get new work."""
+        """Return whether a target may get new calls."""
         return (
             state.reachable
             and not state.leaving
-            and state.position is not None
-            and state.data_centre not in self._out
+            and state.entry_rank is not None
+            and state.data_centre not in self._excluded_data_centres
         )
 
     def get_usable(self):
-        """Return the targets that may get new work, as a list."""
+        """Return the list of targets that may get new calls."""
         if self._usable is None:
             self._usable = [
                 state for state in self._subset if self.is_usable(state)
@@ -167,36 +176,36 @@
     def plan_connections(self):
         """Return the connections to open and to close since the last plan."""
         if self._subset_dirty:
-            self._place_sharers()
+            self._assign_entries()
             self._subset_dirty = False
             self.refresh()
-        wanted = {state.target_id for state in self._subset}
+        wanted_ids = {state.target_id for state in self._subset}
         change = decisions.SubsetChanged(
-            connect=tuple(sorted(wanted - self._connected)),
-            disconnect=tuple(sorted(self._connected - wanted)),
+            connect=tuple(sorted(wanted_ids - self._connected_ids)),
+            disconnect=tuple(sorted(self._connected_ids - wanted_ids)),
         )
-        self._connected = wanted
+        self._connected_ids = wanted_ids
         return change
 
-    def _place_sharers(self):
+    def _assign_entries(self):
         count = subsets.count_sharers(
-            entries=len(self._table.entry_ids),
+            entries=len(self._entry_table.entry_ids),
             targets=len(self._states_by_id),
             settings=self._settings,
         )
         for state in self._states_by_id.values():
-            sharers = self._table.select_sharers(
+            connected_entry_ids = self._entry_table.select_sharers(
                 target_id=state.target_id,
                 data_centre=state.data_centre,
                 count=count,
                 near_share=self._settings.near_share,
             )
-            state.sharers_count = len(sharers)
-            state.position = None
-            if self._entry_id in sharers:
-                state.position = sharers.index(self._entry_id)
+            state.connected_entries_count = len(connected_entry_ids)
+            state.entry_rank = None
+            if self._entry_id in connected_entry_ids:
+                state.entry_rank = connected_entry_ids.index(self._entry_id)
         self._subset = tuple(
             state
             for state in self._states_by_id.values()
-            if state.position is not None
+            if state.entry_rank is not None
         )
--- a/packages/savoryyoke/savoryyoke/routing/rings.py
+++ b/packages/savoryyoke/savoryyoke/routing/rings.py
@@ -1,4 +1,4 @@
-"""Map a key to an order of targets by consistent hashing."""
+"""Order targets for a key by consistent hashing."""
 
 import bisect
 
@@ -8,7 +8,10 @@
 
 
 class Ring:
-    """Order targets for a key; a change of one target moves only its own."""
+    """Order targets for a key.
+
+    Adding or removing a target moves only the keys of that target.
+    """
 
     def __init__(self, *, target_ids):
         points = []
@@ -21,7 +24,7 @@
         self._target_ids = [target_id for _, target_id in points]
 
     def walk(self, *, key_hash, steps):
-        """Yield up to ``steps`` different targets for a hashed key."""
+        """Yield the ids of up to ``steps`` targets, from a key's hash on."""
         count = len(self._target_ids)
         start = bisect.bisect(self._hashes, key_hash)
         seen = set()
--- a/packages/savoryyoke/savoryyoke/routing/router.py
+++ b/packages/savoryyoke/savoryyoke/routing/router.py
@@ -18,8 +18,8 @@
 class Router:
     """Choose targets for the requests of one service in one entry.
 
-    ``generator`` is a seeded ``numpy.random.Generator``. Events change the
-    state through `apply`; queries take the monotonic time in seconds.
+    ``generator`` is a seeded ``numpy.random.Generator``. `apply` changes
+    the state by events. ``now_s`` is always the monotonic time in seconds.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
             data_centre=data_centre,
             settings=self._settings,
         )
-        self._beliefs = prefixes.PrefixBeliefs(settings=self._settings)
-        self._draws = draws.Draws(generator=generator)
+        self._prefix_index = prefixes.PrefixCacheIndex(settings=self._settings)
+        self._random_source = draws.RandomSource(generator=generator)
         self._calls_by_id = {}
         self._summary = None
         self._revision = None
@@ -52,7 +52,7 @@
     def plan_connections(self):
         """Return which targets to connect to and to disconnect from.
 
-        Call it after changes of targets or peers, before the next choice.
+        Call it after targets or peers changed, before the next choice.
         """
         return self._registry.plan_connections()
 
@@ -61,29 +61,29 @@
         return self._make_chooser(now_s).choose(request)
 
     def choose_queue(self, request, now_s):
-        """Return the target in whose queue a request waits least.
+        """Return `Chosen` for the shortest queue, or `NoTarget`.
 
-        It is for a request that `choose` has found no room for and that has
-        waited for room. What the entry knows of limits is left aside: the
-        target's own admission keeps to them, queues the call or refuses it.
+        Use it for a request that has waited after `choose` found no target
+        with free capacity. It ignores concurrency limits: the target itself
+        enforces them and queues or refuses the call.
         """
         return self._make_chooser(now_s).choose_queue(request)
 
     def _make_chooser(self, now_s):
         return choices.Chooser(
             registry=self._registry,
-            beliefs=self._beliefs,
-            draws=self._draws,
+            prefix_index=self._prefix_index,
+            random_source=self._random_source,
             summary=self._get_summary(now_s=now_s),
             settings=self._settings,
             now_s=now_s,
         )
 
     def bindings(self, now_s):
-        """Return targets to bind new idempotency keys to, best first."""
+        """Return bindings for new idempotency keys, the best one first."""
         return bindings.choose_bindings(
             registry=self._registry,
-            draws=self._draws,
+            random_source=self._random_source,
             summary=self._get_summary(now_s=now_s),
             settings=self._settings,
             now_s=now_s,
@@ -100,21 +100,26 @@
 
     @functools.singledispatchmethod
     def apply(self, event, *, now_s):
-        """Take an event; return the decisions that follow from it."""
+        """Update the state with an event; return a tuple of decisions.
+
+        Raises UnknownEvent for other types.
+        """
         raise exceptions.UnknownEvent(event=event)
 
     @apply.register
     def _(self, event: events.TargetSeen, *, now_s):
-        state, reason = self._registry.see(event, now_s=now_s)
+        state, reason = self._registry.add_target(event, now_s=now_s)
         if reason is not None:
             return _reject(event, event.target_id, reason)
         if state is None:
             return ()
-        return self._drop_beliefs(event.target_id, reason='new_incarnation')
+        return self._drop_target_digests(
+            event.target_id, reason='new_incarnation'
+        )
 
     @apply.register
     def _(self, event: events.TargetLeaving, *, now_s):
-        state, rejection = self._find(event)
+        state, rejection = self._find_state(event)
         if state is None:
             return rejection
         state.leaving = True
@@ -123,12 +128,12 @@
 
     @apply.register
     def _(self, event: events.TargetGone, *, now_s):
-        state, rejection = self._find(event)
+        state, rejection = self._find_state(event)
         if state is None:
             return rejection
-        self._registry.end(state, now_s=now_s)
+        self._registry.remove_target(state, now_s=now_s)
         self._refresh()
-        return self._drop_beliefs(event.target_id, reason='target_gone')
+        return self._drop_target_digests(event.target_id, reason='target_gone')
 
     @apply.register
     def _(self, event: events.TargetReachable, *, now_s):
@@ -145,13 +150,13 @@
             return _reject(event, event.target_id, reason)
         if state.reachable != reachable:
             state.reachable = reachable
-            state.forget_evidence()
+            state.discard_report()
             self._refresh()
         return ()
 
     @apply.register
     def _(self, event: events.LoadReported, *, now_s):
-        state, rejection = self._find(event)
+        state, rejection = self._find_state(event)
         if state is None:
             return rejection
         reason = state.accept_report(event, now_s=now_s)
@@ -162,7 +167,7 @@
 
     @apply.register
     def _(self, event: events.ModelsReported, *, now_s):
-        state, rejection = self._find(event)
+        state, rejection = self._find_state(event)
         if state is None:
             return rejection
         reason = state.accept_models(event)
@@ -172,26 +177,26 @@
 
     @apply.register
     def _(self, event: events.CacheEventSeen, *, now_s):
-        state, rejection = self._find(event)
+        state, rejection = self._find_state(event)
         if state is None:
             return rejection
         target_id = event.target_id
-        gap = self._beliefs.apply_sequence(
+        has_gap = self._prefix_index.apply_sequence(
             target_id=target_id, sequence=event.sequence
         )
-        if gap is None:
+        if has_gap is None:
             reason = decisions.RejectionReason.OUT_OF_ORDER
             return _reject(event, target_id, reason)
         dropped = ()
         if event.reset:
-            dropped = self._forget_cache(target_id, reason='reset')
-        elif gap:
-            count = self._beliefs.drop_unanswered(
+            dropped = self._clear_cached_digests(target_id, reason='reset')
+        elif has_gap:
+            count = self._prefix_index.drop_unconfirmed(
                 target_id=target_id, now_s=now_s
             )
             dropped = _report_dropped(target_id, count=count, reason='gap')
-        self._beliefs.remove(target_id=target_id, digests=event.evicted)
-        self._beliefs.add(target_id=target_id, digests=event.added)
+        self._prefix_index.remove(target_id=target_id, digests=event.evicted)
+        self._prefix_index.add(target_id=target_id, digests=event.added)
         return dropped
 
     @apply.register
@@ -205,8 +210,8 @@
     def _bring_in(self, data_centre):
         outcomes = ()
         for state in self._registry.bring_in(data_centre):
-            state.forget_evidence()
-            outcomes += self._forget_cache(
+            state.discard_report()
+            outcomes += self._clear_cached_digests(
                 state.target_id, reason='data_centre_returned'
             )
         self._refresh()
@@ -224,11 +229,11 @@
             return _reject(event, str(event.revision), reason)
         self._revision = event.revision
         self._registry.set_distances(event.distances_s_by_data_centre)
-        before = self._registry.data_centres_out
+        previously_out = self._registry.data_centres_out
         outcomes = ()
-        for data_centre in sorted(before - event.data_centres_out):
+        for data_centre in sorted(previously_out - event.data_centres_out):
             outcomes += self._bring_in(data_centre)
-        for data_centre in sorted(event.data_centres_out - before):
+        for data_centre in sorted(event.data_centres_out - previously_out):
             self._registry.take_out(data_centre)
         self._refresh()
         return outcomes
@@ -245,7 +250,7 @@
         self._calls_by_id[event.call_id] = calls.start_call(
             event,
             state=state,
-            beliefs=self._beliefs,
+            prefix_index=self._prefix_index,
             summary=self._get_summary(now_s=now_s),
             settings=self._settings,
             now_s=now_s,
@@ -260,15 +265,15 @@
             return _reject_call(event)
         if state is None:
             return ()
-        service_s = max(0.0, event.latency_s - call.foreseen_wait_s)
+        service_s = max(0.0, event.latency_s - call.predicted_wait_s)
         state.record_first_token(service_s, now_s=now_s)
         if event.cached_digests is not None:
-            self._beliefs.verify(
+            self._prefix_index.update_confidence(
                 target_id=call.target_id,
-                expected=call.matched,
-                found=event.cached_digests,
+                expected_count=call.matched_digests,
+                found_count=event.cached_digests,
             )
-        self._beliefs.add(
+        self._prefix_index.add(
             target_id=call.target_id,
             digests=call.digests,
             answered_at_s=now_s,
@@ -308,7 +313,7 @@
             self._refresh()
         return ()
 
-    def _find(self, event):
+    def _find_state(self, event):
         state = self._registry.get(event.target_id)
         reason = None
         if state is None:
@@ -322,7 +327,11 @@
         return state, ()
 
     def _find_call(self, call_id):
-        """Return a call and its target, None where it has ended."""
+        """Return a call and its target's state.
+
+        Both are None for an unknown call; the state is None if the target's
+        incarnation has ended.
+        """
         call = self._calls_by_id.get(call_id)
         if call is None:
             return None, None
@@ -335,13 +344,13 @@
         self._registry.refresh()
         self._summary = None
 
-    def _drop_beliefs(self, target_id, *, reason):
+    def _drop_target_digests(self, target_id, *, reason):
         self._refresh()
-        count = self._beliefs.drop_target(target_id=target_id)
+        count = self._prefix_index.drop_target(target_id=target_id)
         return _report_dropped(target_id, count=count, reason=reason)
 
-    def _forget_cache(self, target_id, *, reason):
-        count = self._beliefs.drop(target_id=target_id)
+    def _clear_cached_digests(self, target_id, *, reason):
+        count = self._prefix_index.drop(target_id=target_id)
         return _report_dropped(target_id, count=count, reason=reason)
 
 
@@ -349,7 +358,7 @@
     if not count:
         return ()
     return (
-        decisions.BeliefsDropped(
+        decisions.PrefixDigestsDropped(
             target_id=target_id, count=count, reason=reason
         ),
     )
--- a/packages/savoryyoke/savoryyoke/routing/subsets.py
+++ b/packages/savoryyoke/savoryyoke/routing/subsets.py
@@ -1,8 +1,8 @@
 """Select which entries connect to which targets.
 
-Each target selects its entries by rendezvous hashing, so every target has
-the same number of entries whatever their number, and a change of one
-entry or one target moves only the connections of that one.
+Each target selects its entries by rendezvous hashing. All targets get the
+same number of entries, and adding or removing an entry or a target changes
+only its own connections.
 """
 
 import math
@@ -10,23 +10,25 @@
 import numpy as np
 import xxhash
 
-_MIX_FIRST = np.uint64(0xBF58476D1CE4E5B9)
-_MIX_SECOND = np.uint64(0x94D049BB133111EB)
+# Constants of the splitmix64 finaliser.
+_MIX_MULTIPLIER_1 = np.uint64(0xBF58476D1CE4E5B9)
+_MIX_MULTIPLIER_2 = np.uint64(0x94D049BB133111EB)
 
 
 def hash_bytes(key):
-    """Return the 64-bit hash of some bytes."""
+    """Return the 64-bit hash of a bytes object."""
     return xxhash.xxh3_64_intdigest(key)
 
 
 def hash_identity(identity):
-    """Return the 64-bit hash of a text."""
+    """Return the 64-bit hash of a string."""
     return hash_bytes(identity.encode())
 
 
 def _mix(values):
-    values = (values ^ (values >> np.uint64(30))) * _MIX_FIRST
-    values = (values ^ (values >> np.uint64(27))) * _MIX_SECOND
+    """Return well-distributed hashes of an array of ``uint64`` values."""
+    values = (values ^ (values >> np.uint64(30))) * _MIX_MULTIPLIER_1
+    values = (values ^ (values >> np.uint64(27))) * _MIX_MULTIPLIER_2
     return values ^ (values >> np.uint64(31))
 
 
@@ -34,8 +36,8 @@
     """Return how many entries connect to each target."""
     if not targets:
         return entries
-    wanted = math.ceil(settings.subset_size * entries / targets)
-    return min(entries, max(settings.minimum_sharers, wanted))
+    wanted_count = math.ceil(settings.subset_size * entries / targets)
+    return min(entries, max(settings.minimum_entries_per_target, wanted_count))
 
 
 class EntryTable:
@@ -55,19 +57,21 @@
     def select_sharers(self, *, target_id, data_centre, count, near_share):
         """Return the ids of the entries that connect to a target.
 
-        At most ``near_share`` of ``count`` is reserved for entries in the
-        target's data centre; the others are taken from the whole fleet.
+        Up to ``near_share`` of ``count``, rounded up, is reserved for entries
+        in the target's data centre; the rest come from the whole fleet.
         """
         seed = np.uint64(hash_identity(target_id))
-        order = np.argsort(_mix(self._hashes ^ seed), kind='stable')
-        if count >= len(order):
-            return tuple(self.entry_ids[index] for index in order)
-        near = order[self._data_centres[order] == data_centre]
-        chosen = list(near[: math.ceil(count * near_share)])
-        reserved = set(chosen)
-        for index in order:
-            if len(chosen) >= count:
+        ranked_indexes = np.argsort(_mix(self._hashes ^ seed), kind='stable')
+        if count >= len(ranked_indexes):
+            return tuple(self.entry_ids[index] for index in ranked_indexes)
+        local_indexes = ranked_indexes[
+            self._data_centres[ranked_indexes] == data_centre
+        ]
+        chosen_indexes = list(local_indexes[: math.ceil(count * near_share)])
+        reserved_indexes = set(chosen_indexes)
+        for index in ranked_indexes:
+            if len(chosen_indexes) >= count:
                 break
-            if index not in reserved:
-                chosen.append(index)
-        return tuple(self.entry_ids[index] for index in chosen)
+            if index not in reserved_indexes:
+                chosen_indexes.append(index)
+        return tuple(self.entry_ids[index] for index in chosen_indexes)
--- a/packages/savoryyoke/savoryyoke/routing/utils.py
+++ b/packages/savoryyoke/savoryyoke/routing/utils.py
@@ -1,10 +1,14 @@
-"""Hold small numeric parts of routing."""
+"""Provide numeric helpers for routing."""
 
 import math
 
 
 class DecayingMean:
-    """Average samples and forget the average when no sample follows."""
+    """Average samples, exponentially weighted.
+
+    Without new samples the average decays to a default. ``weight`` is the
+    weight of a new sample, 0 to 1.
+    """
 
     __slots__ = ('_half_life_s', '_updated_at_s', '_value', '_weight')
 
@@ -15,7 +19,7 @@
         self._updated_at_s = 0.0
 
     def add(self, sample, *, now_s):
-        """Take a sample into the average."""
+        """Add a sample to the average."""
         if self._value is None:
             self._value = sample
         else:
@@ -24,16 +28,16 @@
 
     @property
     def value(self):
-        """Return the average as of the last sample, None without any."""
+        """Return the average at the last sample, None without samples."""
         return self._value
 
     def read(self, *, now_s, default):
-        """Return the average, drawn towards ``default`` as it ages."""
+        """Return the average, which decays to ``default`` with its age."""
         if self._value is None:
             return default
         age_s = max(0.0, now_s - self._updated_at_s)
-        kept = 0.5 ** (age_s / self._half_life_s)
-        return default + (self._value - default) * kept
+        remaining_weight = 0.5 ** (age_s / self._half_life_s)
+        return default + (self._value - default) * remaining_weight
 
 
 def is_between(value, *, lowest, highest):
--- a/packages/savoryyoke/tests/routing/support.py
+++ b/packages/savoryyoke/tests/routing/support.py
@@ -1,4 +1,4 @@
-"""Build routers and events for the tests of routing."""
+"""Provide routers and events for the tests of routing."""
 
 import collections
 
@@ -35,7 +35,7 @@
 
 
 def make_seen(number, **changes):
-    """Return the event that shows a numbered target."""
+    """Return a `TargetSeen` event of a numbered target."""
     values = {
         'target_id': make_target_id(number),
         'incarnation': 1,
@@ -47,8 +47,8 @@
 
 
 def make_router(*, targets=12, seed=1, entry='entry-0', entries=8, **settings):
-    """Return a router that is connected to targets without any report."""
-    routed = router.Router(
+    """Return a router connected to targets that have not reported."""
+    request_router = router.Router(
         service='letters',
         entry_id=entry,
         data_centre=DATA_CENTRES[0],
@@ -59,39 +59,43 @@
         f'entry-{number}': DATA_CENTRES[number % 3]
         for number in range(entries)
     }
-    routed.apply(
+    request_router.apply(
         events.PeersChanged(data_centres_by_entry_id=peers), now_s=0.0
     )
     for number in range(targets):
-        routed.apply(make_seen(number), now_s=0.0)
-    for target_id in routed.plan_connections().connect:
-        routed.apply(events.TargetReachable(target_id=target_id), now_s=0.0)
-    return routed
+        request_router.apply(make_seen(number), now_s=0.0)
+    for target_id in request_router.plan_connections().connect:
+        request_router.apply(
+            events.TargetReachable(target_id=target_id), now_s=0.0
+        )
+    return request_router
 
 
-def warm(routed, *, targets=12, now_s=0.0, **changes):
-    """Report every target as warm and let it earn full trust."""
+def warm(request_router, *, targets=12, now_s=0.0, **changes):
+    """Report every target as warm and end its slow start by calls."""
     for number in range(targets):
-        routed.apply(make_report(number, **changes), now_s=now_s)
+        request_router.apply(make_report(number, **changes), now_s=now_s)
         for count in range(changes.get('limit', 16)):
             call_id = f'warm-{number}-{count}'
-            dispatch(routed, call_id, make_target_id(number), now_s=now_s)
-            finish(routed, call_id, now_s=now_s)
+            dispatch(
+                request_router, call_id, make_target_id(number), now_s=now_s
+            )
+            finish(request_router, call_id, now_s=now_s)
 
 
-def dispatch(routed, call_id, target_id, *, now_s, **changes):
-    """Tell a router that a call was sent; return the decisions."""
-    return routed.apply(
+def dispatch(request_router, call_id, target_id, *, now_s, **changes):
+    """Apply the event of a sent call; return the decisions."""
+    return request_router.apply(
         events.Dispatched(call_id=call_id, target_id=target_id, **changes),
         now_s=now_s,
     )
 
 
-def finish(routed, call_id, *, now_s, latency_s=1.0, token_s=None):
-    """Tell a router that a call was answered."""
+def finish(request_router, call_id, *, now_s, latency_s=1.0, token_s=None):
+    """Apply the events of an answered call."""
     first = events.FirstToken(call_id=call_id, latency_s=0.2)
-    routed.apply(first, now_s=now_s)
-    routed.apply(
+    request_router.apply(first, now_s=now_s)
+    request_router.apply(
         events.Completed(
             call_id=call_id,
             outcome=events.Outcome.ANSWERED,
@@ -102,11 +106,11 @@
     )
 
 
-def choose_many(routed, *, count, request=REQUEST, now_s=0.0):
-    """Return how often each target is chosen, without dispatching."""
+def choose_many(request_router, *, count, request=REQUEST, now_s=0.0):
+    """Return how often each target is chosen; send no calls."""
     chosen = collections.Counter()
     for _ in range(count):
-        choice = routed.choose(request, now_s)
+        choice = request_router.choose(request, now_s)
         if isinstance(choice, decisions.Chosen):
             chosen[choice.target_id] += 1
     return chosen
--- a/packages/savoryyoke/tests/routing/test_prefixes.py
+++ b/packages/savoryyoke/tests/routing/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Test beliefs about prefix caches."""
+"""Test the index of prefix caches."""
 
 import collections
 import unittest
@@ -8,54 +8,54 @@
 from tests.routing import support
 
 
-class CacheBeliefTest(unittest.TestCase):
-    """Check that beliefs about prefix caches are bounded and dropped."""
+class PrefixCacheIndexTest(unittest.TestCase):
+    """Check that cached digests are limited in number and dropped."""
 
     PROMPT = tuple(bytes([number]) for number in range(40))
     WARM_REQUEST = decisions.Request(service='letters', prefix_digests=PROMPT)
 
     def make_router(self):
-        """Return a router that believes one target holds the prompt."""
-        routed = support.make_router(affinity_steps=0)
-        support.warm(routed, running=8)
-        self.see(routed, sequence=5, added=self.PROMPT)
-        return routed
+        """Return a router with an event that target 7 cached the prompt."""
+        request_router = support.make_router(affinity_steps=0)
+        support.warm(request_router, running=8)
+        self.see(request_router, sequence=5, added=self.PROMPT)
+        return request_router
 
-    def see(self, routed, **changes):
+    def see(self, request_router, **changes):
         """Apply a cache event of target 7; return the decisions."""
         event = events.CacheEventSeen(
             target_id='target-7', incarnation=1, **changes
         )
-        return routed.apply(event, now_s=0.0)
+        return request_router.apply(event, now_s=0.0)
 
-    def count(self, routed):
-        """Return how many of 100 requests the believed holder gets."""
+    def count(self, request_router):
+        """Return how many of 100 requests target 7 gets."""
         chosen = support.choose_many(
-            routed, count=100, request=self.WARM_REQUEST
+            request_router, count=100, request=self.WARM_REQUEST
         )
         return chosen['target-7']
 
-    def test_holder_is_preferred_until_an_event_is_missing(self):
-        """Drop beliefs on a gap, not on the next or a repeated event."""
-        routed = self.make_router()
-        self.assertEqual(100, self.count(routed))
-        self.assertEqual((), self.see(routed, sequence=6))
-        (rejected,) = self.see(routed, sequence=6, reset=True)
+    def test_caching_target_is_preferred_until_an_event_is_missing(self):
+        """Drop digests on a gap, not on the next or a repeated event."""
+        request_router = self.make_router()
+        self.assertEqual(100, self.count(request_router))
+        self.assertEqual((), self.see(request_router, sequence=6))
+        (rejected,) = self.see(request_router, sequence=6, reset=True)
         self.assertEqual(
             decisions.RejectionReason.OUT_OF_ORDER, rejected.reason
         )
-        self.assertEqual(100, self.count(routed))
-        (dropped,) = self.see(routed, sequence=8)
+        self.assertEqual(100, self.count(request_router))
+        (dropped,) = self.see(request_router, sequence=8)
         self.assertEqual((40, 'gap'), (dropped.count, dropped.reason))
-        self.assertLess(self.count(routed), 40)
+        self.assertLess(self.count(request_router), 40)
 
-    def test_beliefs_that_answers_disprove_lose_their_weight(self):
-        """Trust a target's cache events as far as answers confirm them."""
-        routed = self.make_router()
+    def test_digests_that_answers_disprove_lose_their_weight(self):
+        """Weight cached digests by how often answers confirm them."""
+        request_router = self.make_router()
         for number in range(15):
             call_id = f'call-{number}'
             support.dispatch(
-                routed,
+                request_router,
                 call_id,
                 'target-7',
                 now_s=0.0,
@@ -64,35 +64,35 @@
             answer = events.FirstToken(
                 call_id=call_id, latency_s=0.2, cached_digests=0
             )
-            routed.apply(answer, now_s=0.0)
-            support.finish(routed, call_id, now_s=0.0)
-        self.assertLess(self.count(routed), 60)
+            request_router.apply(answer, now_s=0.0)
+            support.finish(request_router, call_id, now_s=0.0)
+        self.assertLess(self.count(request_router), 60)
 
-    def test_gap_keeps_what_an_answer_showed_lately(self):
-        """Trust an answer for a minute beyond a missing event."""
+    def test_gap_keeps_digests_that_a_recent_answer_confirmed(self):
+        """Keep confirmed digests for 60 s despite a missing event."""
         for now_s, dropped in ((50.0, ()), (70.0, (40,))):
             with self.subTest(now_s=now_s):
-                routed = self.make_router()
+                request_router = self.make_router()
                 support.dispatch(
-                    routed,
+                    request_router,
                     'call',
                     'target-7',
                     now_s=0.0,
                     prefix_digests=self.PROMPT,
                 )
-                support.finish(routed, 'call', now_s=0.0)
+                support.finish(request_router, 'call', now_s=0.0)
                 event = events.CacheEventSeen(
                     target_id='target-7', incarnation=1, sequence=9
                 )
-                outcome = routed.apply(event, now_s=now_s)
+                outcome = request_router.apply(event, now_s=now_s)
                 self.assertEqual(
                     dropped, tuple(item.count for item in outcome)
                 )
 
-    def test_shared_prefix_does_not_draw_all_conversations(self):
-        """Spread conversations that begin with one popular prefix."""
-        routed = support.make_router()
-        support.warm(routed, running=8)
+    def test_shared_prefix_does_not_attract_all_conversations(self):
+        """Spread conversations that begin with the same prefix."""
+        request_router = support.make_router()
+        support.warm(request_router, running=8)
         for number in range(12):
             event = events.CacheEventSeen(
                 target_id=support.make_target_id(number),
@@ -100,14 +100,16 @@
                 sequence=1,
                 added=self.PROMPT,
             )
-            routed.apply(event, now_s=0.0)
+            request_router.apply(event, now_s=0.0)
         chosen = collections.Counter()
         for number in range(100):
             own = tuple(b'%d/%d' % (number, block) for block in range(20))
             request = decisions.Request(
                 service='letters', prefix_digests=self.PROMPT + own
             )
-            again = support.choose_many(routed, count=3, request=request)
+            again = support.choose_many(
+                request_router, count=3, request=request
+            )
             self.assertEqual(1, len(again), number)
             chosen += again
         self.assertGreaterEqual(len(chosen), 10)
@@ -115,25 +117,25 @@
 
     def test_evicted_prefix_is_no_longer_matched(self):
         """Match no further than the first evicted digest."""
-        routed = self.make_router()
-        self.see(routed, sequence=6, evicted=self.PROMPT[:1])
-        self.assertLess(self.count(routed), 40)
+        request_router = self.make_router()
+        self.see(request_router, sequence=6, evicted=self.PROMPT[:1])
+        self.assertLess(self.count(request_router), 40)
 
     def test_reset_drops_and_size_is_bounded(self):
-        """Forget all on a reset, and the oldest beyond the limit."""
-        routed = self.make_router()
-        (dropped,) = self.see(routed, sequence=6, reset=True)
+        """Drop all digests on a reset, and the oldest beyond the limit."""
+        request_router = self.make_router()
+        (dropped,) = self.see(request_router, sequence=6, reset=True)
         self.assertEqual((40, 'reset'), (dropped.count, dropped.reason))
         digests = tuple(b'%d' % number for number in range(5000))
-        self.see(routed, sequence=7, added=digests)
-        (dropped,) = self.see(routed, sequence=8, reset=True)
+        self.see(request_router, sequence=7, added=digests)
+        (dropped,) = self.see(request_router, sequence=8, reset=True)
         self.assertLessEqual(dropped.count, 2000)
 
     def test_benefit_is_bounded(self):
-        """Leave a holder whose queue costs more than its cache saves."""
-        routed = self.make_router()
+        """Avoid a target whose queue costs more than its cache saves."""
+        request_router = self.make_router()
         slow = support.make_report(
             7, stamp_s=101.0, running=16, estimated_wait_s=1.0
         )
-        routed.apply(slow, now_s=0.0)
-        self.assertEqual(0, self.count(routed))
+        request_router.apply(slow, now_s=0.0)
+        self.assertEqual(0, self.count(request_router))
--- a/packages/savoryyoke/tests/routing/test_reports.py
+++ b/packages/savoryyoke/tests/routing/test_reports.py
@@ -1,4 +1,4 @@
-"""Test that unusable reports change nothing."""
+"""Test that invalid load reports change nothing."""
 
 import math
 import unittest
@@ -8,10 +8,10 @@
 
 
 class ReportTest(unittest.TestCase):
-    """Check that unusable reports change nothing."""
+    """Check that invalid load reports change nothing."""
 
     def test_bad_reports_are_rejected_whole(self):
-        """Name the reason and keep acting on the last good report."""
+        """Return the reason and keep using the last valid report."""
         reasons = decisions.RejectionReason
         cases = [
             ({'stamp_s': 100.0}, reasons.OUT_OF_ORDER),
@@ -30,11 +30,11 @@
         ]
         for changes, reason in cases:
             with self.subTest(changes=changes):
-                routed = support.make_router(targets=2, entries=1)
-                support.warm(routed, targets=2)
+                request_router = support.make_router(targets=2, entries=1)
+                support.warm(request_router, targets=2)
                 full = {'stamp_s': 101.0, 'limit': 0}
                 bad = support.make_report(0, **(full | changes))
-                (rejected,) = routed.apply(bad, now_s=0.0)
+                (rejected,) = request_router.apply(bad, now_s=0.0)
                 self.assertEqual(reason, rejected.reason)
-                chosen = support.choose_many(routed, count=200)
+                chosen = support.choose_many(request_router, count=200)
                 self.assertGreater(chosen['target-0'], 50)
--- a/packages/savoryyoke/tests/routing/test_router.py
+++ b/packages/savoryyoke/tests/routing/test_router.py
@@ -9,43 +9,45 @@
 
 
 class HerdingTest(unittest.TestCase):
-    """Check that entries acting on one report spread their work."""
+    """Check that entries with the same reports spread their calls."""
 
     def test_idle_target_is_not_overrun_by_200_routers(self):
-        """Bound the share of the only idle target of twelve."""
+        """Limit the share of the only idle one of twelve targets."""
         chosen = collections.Counter()
         for seed in range(200):
-            routed = support.make_router(seed=seed)
-            support.warm(routed, running=14, queued=4, estimated_wait_s=1.0)
+            request_router = support.make_router(seed=seed)
+            support.warm(
+                request_router, running=14, queued=4, estimated_wait_s=1.0
+            )
             idle = support.make_report(3, stamp_s=101.0)
-            routed.apply(idle, now_s=0.0)
-            chosen += support.choose_many(routed, count=1)
+            request_router.apply(idle, now_s=0.0)
+            chosen += support.choose_many(request_router, count=1)
         self.assertGreater(chosen['target-3'], 200 / 12)
         self.assertLess(chosen['target-3'], 200 / 4)
         self.assertGreaterEqual(len(chosen), 10)
 
 
 class ScoreTest(unittest.TestCase):
-    """Check the parts of the score that need time or answers."""
+    """Check the parts of the score that depend on time or answers."""
 
     def test_old_report_counts_for_less(self):
-        """Stop preferring a target whose idle report has grown old."""
-        routed = support.make_router(random_candidates=6)
-        support.warm(routed, running=8)
-        routed.apply(support.make_report(3, stamp_s=101.0), now_s=0.0)
-        fresh = support.choose_many(routed, count=300)
+        """Stop preferring an idle target as its report gets old."""
+        request_router = support.make_router(random_candidates=6)
+        support.warm(request_router, running=8)
+        request_router.apply(support.make_report(3, stamp_s=101.0), now_s=0.0)
+        fresh = support.choose_many(request_router, count=300)
         for number in range(12):
             if number != 3:
                 report = support.make_report(number, stamp_s=110.0, running=8)
-                routed.apply(report, now_s=10.0)
-        old = support.choose_many(routed, count=300, now_s=10.0)
+                request_router.apply(report, now_s=10.0)
+        old = support.choose_many(request_router, count=300, now_s=10.0)
         self.assertGreater(fresh['target-3'], 100)
         self.assertLess(old['target-3'], 60)
 
     def test_report_read_late_counts_as_old(self):
-        """Discount a report that waited while the entry was paused."""
-        routed = support.make_router(random_candidates=6)
-        support.warm(routed, running=8)
+        """Discount a report that was queued while the entry was paused."""
+        request_router = support.make_router(random_candidates=6)
+        support.warm(request_router, running=8)
         for number in range(12):
             late = number == 3
             report = support.make_report(
@@ -53,69 +55,73 @@
                 stamp_s=101.0 if late else 160.0,
                 running=0 if late else 8,
             )
-            routed.apply(report, now_s=60.0)
-        chosen = support.choose_many(routed, count=300, now_s=60.0)
+            request_router.apply(report, now_s=60.0)
+        chosen = support.choose_many(request_router, count=300, now_s=60.0)
         self.assertLess(chosen['target-3'], 60)
 
     def test_straggler_is_avoided_and_tried_again(self):
-        """Avoid a slow target, and forget its slowness in time."""
-        routed = support.make_router()
-        support.warm(routed)
-        support.dispatch(routed, 'call', 'target-3', now_s=0.0)
+        """Avoid a slow target, and try it again after 90 s."""
+        request_router = support.make_router()
+        support.warm(request_router)
+        support.dispatch(request_router, 'call', 'target-3', now_s=0.0)
         first = events.FirstToken(call_id='call', latency_s=5.0)
-        routed.apply(first, now_s=0.0)
-        support.finish(routed, 'call', now_s=0.0)
-        self.assertLess(support.choose_many(routed, count=300)['target-3'], 10)
+        request_router.apply(first, now_s=0.0)
+        support.finish(request_router, 'call', now_s=0.0)
+        self.assertLess(
+            support.choose_many(request_router, count=300)['target-3'], 10
+        )
         for number in range(12):
             report = support.make_report(number, stamp_s=190.0)
-            routed.apply(report, now_s=90.0)
-        later = support.choose_many(routed, count=300, now_s=90.0)
+            request_router.apply(report, now_s=90.0)
+        later = support.choose_many(request_router, count=300, now_s=90.0)
         self.assertGreater(later['target-3'], 10)
 
     def test_slow_generation_is_avoided(self):
-        """Avoid a target that is slow between tokens only."""
-        routed = support.make_router()
-        support.warm(routed)
+        """Avoid a target with a long time between tokens only."""
+        request_router = support.make_router()
+        support.warm(request_router)
         for number in range(12):
             call_id = f'call-{number}'
             target_id = support.make_target_id(number)
-            support.dispatch(routed, call_id, target_id, now_s=0.0)
+            support.dispatch(request_router, call_id, target_id, now_s=0.0)
             token_s = 0.05 if number == 3 else 0.02
-            support.finish(routed, call_id, now_s=0.0, token_s=token_s)
-        routed.apply(support.make_report(0, stamp_s=101.0), now_s=0.0)
-        chosen = support.choose_many(routed, count=300)
+            support.finish(request_router, call_id, now_s=0.0, token_s=token_s)
+        request_router.apply(support.make_report(0, stamp_s=101.0), now_s=0.0)
+        chosen = support.choose_many(request_router, count=300)
         self.assertLess(chosen['target-3'], 10)
         self.assertEqual(12 - 1, len(set(chosen) - {'target-3'}))
 
     def test_target_that_fails_at_once_is_avoided(self):
-        """Avoid an idle target whose calls fail, and try it again."""
-        routed = support.make_router()
-        support.warm(routed, running=8)
-        routed.apply(support.make_report(3, stamp_s=101.0), now_s=0.0)
-        before = support.choose_many(routed, count=300)
-        support.dispatch(routed, 'call', 'target-3', now_s=0.0)
-        (rejected,) = support.dispatch(routed, 'call', 'target-5', now_s=0.0)
+        """Avoid an idle target whose calls fail; try it again after 90 s."""
+        request_router = support.make_router()
+        support.warm(request_router, running=8)
+        request_router.apply(support.make_report(3, stamp_s=101.0), now_s=0.0)
+        before = support.choose_many(request_router, count=300)
+        support.dispatch(request_router, 'call', 'target-3', now_s=0.0)
+        (rejected,) = support.dispatch(
+            request_router, 'call', 'target-5', now_s=0.0
+        )
         self.assertEqual(
             decisions.RejectionReason.DUPLICATE_CALL, rejected.reason
         )
         failed = events.Completed(
             call_id='call', outcome=events.Outcome.FAILED, latency_s=0.01
         )
-        routed.apply(failed, now_s=0.0)
-        after = support.choose_many(routed, count=300)
+        request_router.apply(failed, now_s=0.0)
+        after = support.choose_many(request_router, count=300)
         self.assertGreater(before['target-3'], 30)
         self.assertLess(after['target-3'], 10)
         for number in range(12):
             report = support.make_report(number, stamp_s=190.0)
-            routed.apply(report, now_s=90.0)
-        later = support.choose_many(routed, count=300, now_s=90.0)
+            request_router.apply(report, now_s=90.0)
+        later = support.choose_many(request_router, count=300, now_s=90.0)
         self.assertGreater(later['target-3'], 10)
 
 
 class ModelTest(unittest.TestCase):
-    """Check that requests go where their model is loaded."""
+    """Check that requests go to targets with their model loaded."""
 
-    def report(self, routed, number, *models, stamp_s=100.0):
+    def report(self, request_router, number, *models, stamp_s=100.0):
         """Report the models of a target; return the decisions."""
         event = events.ModelsReported(
             target_id=support.make_target_id(number),
@@ -123,39 +129,41 @@
             stamp_s=stamp_s,
             models=frozenset(models),
         )
-        return routed.apply(event, now_s=0.0)
+        return request_router.apply(event, now_s=0.0)
 
     def test_only_targets_with_the_model_are_chosen(self):
-        """Find the one that has it, and refuse where none has."""
-        routed = support.make_router()
-        support.warm(routed)
+        """Choose the only target with the model; refuse without one."""
+        request_router = support.make_router()
+        support.warm(request_router)
         for number in range(12):
-            self.report(routed, number, 'large' if number == 5 else 'small')
-        (rejected,) = self.report(routed, 5, 'small', stamp_s=99.0)
+            self.report(
+                request_router, number, 'large' if number == 5 else 'small'
+            )
+        (rejected,) = self.report(request_router, 5, 'small', stamp_s=99.0)
         self.assertEqual(
             decisions.RejectionReason.OUT_OF_ORDER, rejected.reason
         )
         large = decisions.Request(service='letters', model='large')
-        chosen = support.choose_many(routed, count=100, request=large)
+        chosen = support.choose_many(request_router, count=100, request=large)
         self.assertEqual({'target-5': 100}, chosen)
-        self.report(routed, 5, 'small', stamp_s=101.0)
-        refusal = routed.choose(large, 0.0)
+        self.report(request_router, 5, 'small', stamp_s=101.0)
+        refusal = request_router.choose(large, 0.0)
         self.assertEqual(decisions.NoTargetReason.NOT_LOADED, refusal.reason)
 
 
 class PriorityTest(unittest.TestCase):
-    """Check the order in which work is refused."""
+    """Check the order in which requests are refused."""
 
-    def test_less_important_work_is_refused_first(self):
-        """Refuse by importance while the load grows."""
+    def test_lower_priority_is_refused_first(self):
+        """Refuse by priority while the load grows."""
         accepted = []
         for queued in (0, 4, 12, 24, 60):
-            routed = support.make_router(entries=1)
-            support.warm(routed, running=16, queued=queued)
+            request_router = support.make_router(entries=1)
+            support.warm(request_router, running=16, queued=queued)
             accepted.append(
                 [
                     isinstance(
-                        routed.choose(
+                        request_router.choose(
                             decisions.Request(
                                 service='letters', priority=priority
                             ),
@@ -181,25 +189,27 @@
 class BindingTest(unittest.TestCase):
     """Check the targets that new idempotency keys are bound to."""
 
-    def test_keys_spread_over_targets_with_room(self):
-        """Bind to all targets alike, but to none that is full or held."""
-        routed = support.make_router()
-        support.warm(routed)
+    def test_keys_spread_over_targets_with_capacity(self):
+        """Bind to all targets except full ones and those that refused."""
+        request_router = support.make_router()
+        support.warm(request_router)
         full = support.make_report(4, stamp_s=101.0, running=16, queued=32)
-        routed.apply(full, now_s=0.0)
-        support.dispatch(routed, 'call', 'target-7', now_s=0.0, priority=3)
+        request_router.apply(full, now_s=0.0)
+        support.dispatch(
+            request_router, 'call', 'target-7', now_s=0.0, priority=3
+        )
         refusal = events.Refused(
             call_id='call',
             target_id='target-7',
             retry_after_s=1.0,
             reason=events.RefusalReason.OVERLOADED,
         )
-        routed.apply(refusal, now_s=0.0)
+        request_router.apply(refusal, now_s=0.0)
         bound = collections.Counter(
-            routed.bindings(0.0)[0].target_id for _ in range(1000)
+            request_router.bindings(0.0)[0].target_id for _ in range(1000)
         )
         self.assertEqual(10, len(bound))
         self.assertNotIn('target-4', bound)
         self.assertNotIn('target-7', bound)
         self.assertLess(max(bound.values()), 300)
-        self.assertLessEqual(routed.bindings(0.0)[0].lifetime_s, 5.0)
+        self.assertLessEqual(request_router.bindings(0.0)[0].lifetime_s, 5.0)
--- a/packages/savoryyoke/tests/routing/test_scoring.py
+++ b/packages/savoryyoke/tests/routing/test_scoring.py
@@ -1,4 +1,4 @@
-"""Compare choices with an exhaustive scorer on small cases."""
+"""Compare choices with a simple reference scorer on small cases."""
 
 import unittest
 
@@ -11,12 +11,12 @@
 
 PROMPT = tuple(bytes([number]) for number in range(10))
 SETTINGS = {
-    # Draws enough to see every target, and lets no near-equal one win.
+    # Enough samples to include every target; ties are not randomised.
     'random_candidates': 200,
     'near_equal_s': 0.0,
     'near_equal_ratio': 0.0,
     'affinity_steps': 0,
-    # The search for cold targets has a test of its own.
+    # Warm-up has its own tests.
     'warm_up_shares': (0.0, 0.0, 0.0, 0.0),
 }
 
@@ -35,8 +35,8 @@
 )
 
 
-def score_naively(target, *, number, priority, unproven):
-    """Return the score of a target from the definition, None if full."""
+def score_naively(target, *, number, priority, ignore_slow_start):
+    """Return the score of a target by its definition, None if full."""
     limit, cold = target['limit'], target['cold']
     load = target['running'] + target['queued'] + target['sent']
     if not target['usable'] or limit == 0:
@@ -44,10 +44,10 @@
     bound = 1.0 if cold else (1.0, 1.5, 2.0, 3.0)[priority]
     if load + 1 > bound * limit:
         return None
-    # One entry alone: its share of a cold target's limit is all of it, and
-    # no answer has shown yet that the warm ones bear more than they report.
+    # With a single entry, its share of a cold target's limit is the whole
+    # limit. Warm targets are in slow start: no answer has arrived yet.
     quota = limit if cold else max(1, 2 * target['running'])
-    if target['sent'] >= quota and (cold or not unproven):
+    if target['sent'] >= quota and (cold or not ignore_slow_start):
         return None
     excess = max(0.0, min(load + 1 - limit, target['sent'] + 1))
     score = target['wait_ms'] / 1000 + excess * 2.0 / limit
@@ -67,18 +67,22 @@
     )
     def test_choice_is_the_best_of_all(self, targets, priority):
         """Choose the lowest score, or refuse where none has room."""
-        routed = support.make_router(
+        request_router = support.make_router(
             targets=len(targets), entries=1, **SETTINGS
         )
         for number, target in enumerate(targets):
-            self.set_up(routed, number, target)
+            self.set_up(request_router, number, target)
         request = decisions.Request(
             service='letters', prefix_digests=PROMPT, priority=priority
         )
-        choice = routed.choose(request, 0.0)
-        scores = self.score_all(targets, priority=priority, unproven=False)
+        choice = request_router.choose(request, 0.0)
+        scores = self.score_all(
+            targets, priority=priority, ignore_slow_start=False
+        )
         if not scores:
-            scores = self.score_all(targets, priority=priority, unproven=True)
+            scores = self.score_all(
+                targets, priority=priority, ignore_slow_start=True
+            )
         if not scores:
             self.assertIsInstance(choice, decisions.NoTarget)
             self.assertGreater(choice.retry_after_s, 0.0)
@@ -97,8 +101,8 @@
                 scores[support.make_target_id(number)] = score
         return scores
 
-    def set_up(self, routed, number, target):
-        """Bring one target into the drawn state."""
+    def set_up(self, request_router, number, target):
+        """Apply the events that give a target its generated state."""
         target_id = support.make_target_id(number)
         report = support.make_report(
             number,
@@ -109,18 +113,18 @@
             cold=target['cold'],
             kv_free_ratio=target['kv_percent'] / 100,
         )
-        routed.apply(report, now_s=0.0)
+        request_router.apply(report, now_s=0.0)
         cached = events.CacheEventSeen(
             target_id=target_id,
             incarnation=1,
             sequence=1,
             added=PROMPT[: target['matched']],
         )
-        routed.apply(cached, now_s=0.0)
+        request_router.apply(cached, now_s=0.0)
         for count in range(target['sent']):
             support.dispatch(
-                routed, f'{target_id}/{count}', target_id, now_s=0.0
+                request_router, f'{target_id}/{count}', target_id, now_s=0.0
             )
         if not target['usable']:
             leaving = events.TargetLeaving(target_id=target_id, incarnation=1)
-            routed.apply(leaving, now_s=0.0)
+            request_router.apply(leaving, now_s=0.0)
--- a/packages/savoryyoke/tests/routing/test_subsets.py
+++ b/packages/savoryyoke/tests/routing/test_subsets.py
@@ -36,10 +36,10 @@
 
 
 class SubsetTest(unittest.TestCase):
-    """Check balance and churn of the connections at the stated size."""
+    """Check balance and churn of connections in a large fleet."""
 
     def test_every_target_has_the_same_number_of_entries(self):
-        """Bound the targets of an entry and fix the entries of a target."""
+        """Give each target 11 entries, and each entry 20 to 70 targets."""
         pairs = select_all(entries=range(ENTRIES))
         by_target = collections.Counter(number for _, number in pairs)
         by_entry = collections.Counter(entry_id for entry_id, _ in pairs)
@@ -61,7 +61,7 @@
         self.assertLess(max(near.values()), 11)
 
     def test_one_entry_moves_only_its_own_connections(self):
-        """Bound the change when an entry leaves."""
+        """Change only the connections of an entry that leaves."""
         before = select_all(entries=range(ENTRIES))
         after = select_all(entries=range(ENTRIES - 1))
         leaver = f'entry-{ENTRIES - 1}'
@@ -70,7 +70,7 @@
         self.assertEqual(len(lost), len(after - before))
 
     def test_one_target_moves_only_its_own_connections(self):
-        """Bound the change when a target leaves."""
+        """Change only the connections of a target that leaves."""
         before = select_all(entries=range(ENTRIES))
         after = select_all(entries=range(ENTRIES), targets=range(TARGETS - 1))
         self.assertEqual(
