--- a/packages/savoryyoke-fakes/tests/scenarios/test_clocks.py
+++ b/packages/savoryyoke-fakes/tests/scenarios/test_clocks.py
@@ -89,7 +89,7 @@
         problem = self.assert_turns_red(
             'partitioned-data-centre-out',
             registry.TargetRegistry,
-            'take_out',
+            'exclude_data_centre',
             lambda self, data_centre: None,
         )
         self.assertIn('dc-a got work', problem)
--- a/packages/savoryyoke/savoryyoke/routing/registry.py
+++ b/packages/savoryyoke/savoryyoke/routing/registry.py
@@ -118,12 +118,12 @@
             default_s = 0.0
         return self._distances_s.get(data_centre, default_s)
 
-    def take_out(self, data_centre):
+    def exclude_data_centre(self, data_centre):
         """Exclude a data centre from new calls."""
         self._excluded_data_centres.add(data_centre)
         self.refresh()
 
-    def bring_in(self, data_centre):
+    def readmit_data_centre(self, data_centre):
         """Allow calls to a data centre again; return its targets' states.
 
         The result is empty if the data centre was not excluded.
@@ -188,13 +188,13 @@
         return change
 
     def _assign_entries(self):
-        count = subsets.count_sharers(
+        count = subsets.count_connected_entries(
             entries=len(self._entry_table.entry_ids),
             targets=len(self._states_by_id),
             settings=self._settings,
         )
         for state in self._states_by_id.values():
-            connected_entry_ids = self._entry_table.select_sharers(
+            connected_entry_ids = self._entry_table.select_connected_entries(
                 target_id=state.target_id,
                 data_centre=state.data_centre,
                 count=count,
--- a/packages/savoryyoke/savoryyoke/routing/rings.py
+++ b/packages/savoryyoke/savoryyoke/routing/rings.py
@@ -17,7 +17,7 @@
         points = []
         for target_id in target_ids:
             for number in range(POINTS_PER_TARGET):
-                point = subsets.hash_identity(f'{target_id}/{number}')
+                point = subsets.hash_text(f'{target_id}/{number}')
                 points.append((point, target_id))
         points.sort()
         self._hashes = [point for point, _ in points]
--- a/packages/savoryyoke/savoryyoke/routing/router.py
+++ b/packages/savoryyoke/savoryyoke/routing/router.py
@@ -202,14 +202,14 @@
     @apply.register
     def _(self, event: events.DataCentreStateChanged, *, now_s):
         if event.state is events.DataCentreState.OUT:
-            self._registry.take_out(event.data_centre)
+            self._registry.exclude_data_centre(event.data_centre)
             self._refresh()
             return ()
         return self._bring_in(event.data_centre)
 
     def _bring_in(self, data_centre):
         outcomes = ()
-        for state in self._registry.bring_in(data_centre):
+        for state in self._registry.readmit_data_centre(data_centre):
             state.discard_report()
             outcomes += self._clear_cached_digests(
                 state.target_id, reason='data_centre_returned'
@@ -234,7 +234,7 @@
         for data_centre in sorted(previously_out - event.data_centres_out):
             outcomes += self._bring_in(data_centre)
         for data_centre in sorted(event.data_centres_out - previously_out):
-            self._registry.take_out(data_centre)
+            self._registry.exclude_data_centre(data_centre)
         self._refresh()
         return outcomes
 
--- a/packages/savoryyoke/savoryyoke/routing/subsets.py
+++ b/packages/savoryyoke/savoryyoke/routing/subsets.py
@@ -20,9 +20,9 @@
     return xxhash.xxh3_64_intdigest(key)
 
 
-def hash_identity(identity):
+def hash_text(text):
     """Return the 64-bit hash of a string."""
-    return hash_bytes(identity.encode())
+    return hash_bytes(text.encode())
 
 
 def _mix(values):
@@ -32,7 +32,7 @@
     return values ^ (values >> np.uint64(31))
 
 
-def count_sharers(*, entries, targets, settings):
+def count_connected_entries(*, entries, targets, settings):
     """Return how many entries connect to each target."""
     if not targets:
         return entries
@@ -46,7 +46,7 @@
     def __init__(self, *, data_centres_by_entry_id):
         self.entry_ids = tuple(sorted(data_centres_by_entry_id))
         self._hashes = np.array(
-            [hash_identity(entry_id) for entry_id in self.entry_ids],
+            [hash_text(entry_id) for entry_id in self.entry_ids],
             dtype=np.uint64,
         )
         self._data_centres = np.array(
@@ -54,13 +54,15 @@
             dtype=object,
         )
 
-    def select_sharers(self, *, target_id, data_centre, count, near_share):
+    def select_connected_entries(
+        self, *, target_id, data_centre, count, near_share
+    ):
         """Return the ids of the entries that connect to a target.
 
         Up to ``near_share`` of ``count``, rounded up, is reserved for entries
         in the target's data centre; the rest come from the whole fleet.
         """
-        seed = np.uint64(hash_identity(target_id))
+        seed = np.uint64(hash_text(target_id))
         ranked_indexes = np.argsort(_mix(self._hashes ^ seed), kind='stable')
         if count >= len(ranked_indexes):
             return tuple(self.entry_ids[index] for index in ranked_indexes)
--- a/packages/savoryyoke/tests/routing/test_subsets.py
+++ b/packages/savoryyoke/tests/routing/test_subsets.py
@@ -20,18 +20,18 @@
         }
     )
     settings = conf.RoutingSettings()
-    count = subsets.count_sharers(
+    count = subsets.count_connected_entries(
         entries=len(entries), targets=len(targets), settings=settings
     )
     pairs = set()
     for number in targets:
-        sharers = table.select_sharers(
+        entry_ids = table.select_connected_entries(
             target_id=f'target-{number}',
             data_centre=f'dc-{number % DATA_CENTRES}',
             count=count,
             near_share=settings.near_share,
         )
-        pairs.update((entry_id, number) for entry_id in sharers)
+        pairs.update((entry_id, number) for entry_id in entry_ids)
     return pairs
 
 
--- a/tools/measure/traffic.py
+++ b/tools/measure/traffic.py
@@ -51,7 +51,7 @@
         identity = f'{team}/{client}'
         call = model.Call(
             number=number,
-            entry=subsets.hash_identity(identity) % entries,
+            entry=subsets.hash_text(identity) % entries,
             kind=kind,
             priority=priority,
             deadline_s=deadline_s,
@@ -71,12 +71,12 @@
         }
     )
     settings = conf.RoutingSettings()
-    count = subsets.count_sharers(
+    count = subsets.count_connected_entries(
         entries=entries, targets=targets, settings=settings
     )
     found = [set() for _ in range(entries)]
     for number in range(targets):
-        sharers = table.select_sharers(
+        sharers = table.select_connected_entries(
             target_id=str(number),
             data_centre=f'dc-{number % data_centres}',
             count=count,
