--- a/packages/savoryyoke/savoryyoke/directory/__init__.py
+++ b/packages/savoryyoke/savoryyoke/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Tell callers which entries to use."""
+"""Select the entries that callers should use."""
--- a/packages/savoryyoke/savoryyoke/directory/conf.py
+++ b/packages/savoryyoke/savoryyoke/directory/conf.py
@@ -1,4 +1,4 @@
-"""Hold the defaults of the directory."""
+"""Define the settings of the directory and their defaults."""
 
 import dataclasses
 
@@ -7,8 +7,9 @@
 class DirectorySettings:
     """Hold the limits of a directory.
 
-    ``load_steps`` are the loads from which an entry gets the weight of the
-    same place in ``load_weights``; the load is a share of its capacity.
+    ``load_steps`` and ``load_weights`` have the same length. An entry gets
+    the weight at the index of the last step that its load has reached; the
+    load is a share of its capacity, 0 to 1.
     """
 
     addresses_count: int = 3
--- a/packages/savoryyoke/savoryyoke/directory/decisions.py
+++ b/packages/savoryyoke/savoryyoke/directory/decisions.py
@@ -1,4 +1,4 @@
-"""Define what a directory answers and decides."""
+"""Define the callers, answers and decisions of a directory."""
 
 import dataclasses
 import enum
@@ -6,9 +6,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Caller:
-    """Describe a caller that asks which entry to use.
+    """Describe a caller that needs an entry.
 
-    ``identity`` is any stable text, such as the team and the client's
+    ``identity`` is any stable string, such as the team and the client's
     address; callers with the same identity get the same entries.
     """
 
@@ -26,7 +26,7 @@
 
 
 class CutOffReason(enum.Enum):
-    """Tell why an entry can't rely on its view."""
+    """Tell why an entry can't rely on its data about the fleet."""
 
     PAUSED = 'paused'
     NO_TARGETS = 'no_targets'
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """Give entries in order of preference, good for ``lifetime_s``.
+    """List entries in order of preference, valid for ``lifetime_s``.
 
     ``bindings_by_service`` holds, for services whose calls may not be
     repeated, the targets to bind new idempotency keys to.
@@ -50,10 +50,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CutOff:
-    """Tell a caller to ask another entry.
+    """Tell a caller to use another entry, as this one lost contact.
 
-    ``alternatives`` are entries outside the silence as last known; the
-    caller may return after ``retry_after_s``.
+    ``alternatives`` are other entries, preferably of other data centres.
+    The caller may retry after ``retry_after_s`` seconds.
     """
 
     reason: CutOffReason
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EventRejected:
-    """Report an event that changed nothing."""
+    """Report an event that was rejected and changed nothing."""
 
     event_name: str
     entry_id: str
@@ -82,13 +82,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DrainPlanned:
-    """Tell when no caller keeps an answer that names this entry."""
+    """Give the monotonic time when all answers with this entry expire."""
 
     drain_complete_at_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ContactChanged:
-    """Report that the entry became cut off, or no longer is (None)."""
+    """Report a change of the cut-off reason, None if not cut off."""
 
     reason: CutOffReason | None
--- a/packages/savoryyoke/savoryyoke/directory/directory.py
+++ b/packages/savoryyoke/savoryyoke/directory/directory.py
@@ -1,4 +1,4 @@
-"""Answer callers with the entries they should use."""
+"""Answer callers with the entries that they should use."""
 
 import functools
 
@@ -12,7 +12,7 @@
 
 
 class Directory:
-    """Know the entries of the fleet as one entry sees them.
+    """Track the entries of the fleet, as seen by one entry.
 
     Events change the state through `apply`; times are monotonic seconds.
     """
@@ -22,28 +22,28 @@
         self._data_centre = data_centre
         self._settings = settings or conf.DirectorySettings()
         self._states_by_id = {}
-        self._ended_by_id = {}
-        self._out = set()
+        self._removed_by_id = {}
+        self._excluded_data_centres = set()
         self._contacts = contacts.ContactMonitor(settings=self._settings)
         self._cut_off = None
         self._view = None
 
     def answer(self, caller, now_s, *, bindings_by_service=None):
-        """Return an `Answer`, or `CutOff` where this entry suspects itself.
+        """Return an `Answer`, or `CutOff` if this entry lost contact.
 
-        ``bindings_by_service`` are the routers' bindings; the answer lives
-        no longer than the shortest of them.
+        ``bindings_by_service`` are the bindings of the routers; they limit
+        the lifetime of the answer to the shortest of theirs.
         """
         view = self._get_view(now_s=now_s)
-        reason = self._judge(now_s=now_s)
-        chosen = ()
+        reason = self._find_cut_off_reason(now_s=now_s)
+        chosen_states = ()
         if reason is None:
-            chosen = self._rank(view.named, caller)
+            chosen_states = self._rank(view.available, caller)
             reason = decisions.CutOffReason.ISOLATED
-        if not chosen:
-            return self._refer_elsewhere(view, caller, reason=reason)
+        if not chosen_states:
+            return self._answer_cut_off(view, caller, reason=reason)
         return decisions.Answer(
-            entries=tuple(state.describe() for state in chosen),
+            entries=tuple(state.describe() for state in chosen_states),
             lifetime_s=self._limit_lifetime(bindings_by_service or {}),
             bindings_by_service=bindings_by_service or {},
         )
@@ -56,83 +56,96 @@
         ]
         return min([self._settings.lifetime_s, *lifetimes_s])
 
-    def _rank(self, ranked, caller):
-        """Return states, those of the caller's data centre first."""
+    def _rank(self, ranking, caller):
+        """Return the preferred states for a caller.
+
+        Entries of the caller's data centre come first unless overloaded.
+        """
         put_last = None
         if caller.data_centre is not None:
-            put_last = ranked.flag(
+            put_last = ranking.flag_outside(
                 data_centre=caller.data_centre,
                 lowest_weight=min(self._settings.load_weights),
             )
-        return ranked.rank(
+        return ranking.rank(
             identity=caller.identity,
             count=self._settings.addresses_count,
             put_last=put_last,
         )
 
-    def _refer_elsewhere(self, view, caller, *, reason):
-        # Entries of this data centre are likely to be cut off as well.
-        put_last = ~view.others.flag(data_centre=self._data_centre)
-        chosen = view.others.rank(
+    def _answer_cut_off(self, view, caller, *, reason):
+        # Other entries of this data centre are likely to be cut off too.
+        put_last = ~view.alternatives.flag_outside(
+            data_centre=self._data_centre
+        )
+        chosen_states = view.alternatives.rank(
             identity=caller.identity,
             count=self._settings.addresses_count,
             put_last=put_last,
         )
         return decisions.CutOff(
             reason=reason,
-            alternatives=tuple(state.describe() for state in chosen),
+            alternatives=tuple(state.describe() for state in chosen_states),
             retry_after_s=self._settings.retry_after_s,
         )
 
     def _get_view(self, *, now_s):
-        """Return the entries to name, renewed by ticks and changes."""
+        """Return the cached `View`; ticks and changes discard it."""
         if self._view is None:
             self._view = views.make_view(
                 tuple(self._states_by_id.values()),
                 entry_id=self._entry_id,
-                out=self._out,
-                is_heard=lambda state: self._is_heard(state, now_s=now_s),
+                excluded_data_centres=self._excluded_data_centres,
+                is_in_contact=lambda state: self._is_in_contact(
+                    state, now_s=now_s
+                ),
             )
         return self._view
 
-    def _is_heard(self, state, *, now_s):
+    def _is_in_contact(self, state, *, now_s):
         if state.entry_id == self._entry_id:
             return True
-        return self._contacts.counts_as_heard(state.heard_at_s, now_s=now_s)
+        return self._contacts.is_recent(state.last_message_at_s, now_s=now_s)
 
-    def _judge(self, *, now_s):
+    def _find_cut_off_reason(self, *, now_s):
         view = self._get_view(now_s=now_s)
-        return self._contacts.judge(
-            peers_heard=view.peers_heard,
+        return self._contacts.find_cut_off_reason(
+            peers_in_contact=view.peers_in_contact,
             peers_expected=view.peers_expected,
             now_s=now_s,
         )
 
     @functools.singledispatchmethod
     def apply(self, event, *, now_s):
-        """Take an event; return the decisions that follow from it."""
+        """Update the state with an event; return a tuple of decisions.
+
+        Raises UnknownEvent for other types.
+        """
         raise exceptions.UnknownEvent(event=event)
 
     @apply.register
     def _(self, event: events.EntrySeen, *, now_s):
-        self._forget_ended(now_s=now_s)
-        known = self._states_by_id.get(event.entry_id)
-        ended = self._ended_by_id.get(event.entry_id)
-        if ended is not None and event.incarnation < ended.incarnation:
+        self._remove_expired_tombstones(now_s=now_s)
+        current = self._states_by_id.get(event.entry_id)
+        removed = self._removed_by_id.get(event.entry_id)
+        if removed is not None and event.incarnation < removed.incarnation:
             return _reject(event, decisions.RejectionReason.OLD_INCARNATION)
-        if known is not None and event.incarnation < known.incarnation:
+        if current is not None and event.incarnation < current.incarnation:
             return _reject(event, decisions.RejectionReason.OLD_INCARNATION)
-        if known is None or event.incarnation > known.incarnation:
-            state = entries.EntryState(seen=event, settings=self._settings)
-            if ended is not None and event.incarnation == ended.incarnation:
-                state.leaving = ended.leaving
+        if current is None or event.incarnation > current.incarnation:
+            state = entries.EntryState(event=event, settings=self._settings)
+            if (
+                removed is not None
+                and event.incarnation == removed.incarnation
+            ):
+                state.leaving = removed.leaving
             self._states_by_id[event.entry_id] = state
             self._view = None
         return ()
 
     @apply.register
     def _(self, event: events.EntryLeaving, *, now_s):
-        state, rejection = self._find(event)
+        state, rejection = self._find_state(event)
         if state is not None:
             state.leaving = True
             self._view = None
@@ -140,13 +153,13 @@
 
     @apply.register
     def _(self, event: events.EntryGone, *, now_s):
-        state, rejection = self._find(event)
+        state, rejection = self._find_state(event)
         if state is not None:
-            self._ended_by_id.pop(event.entry_id, None)
-            self._ended_by_id[event.entry_id] = entries.EndedEntry(
+            self._removed_by_id.pop(event.entry_id, None)
+            self._removed_by_id[event.entry_id] = entries.RemovedEntry(
                 incarnation=state.incarnation,
                 leaving=state.leaving,
-                until_s=now_s + self._settings.tombstone_lifetime_s,
+                expires_at_s=now_s + self._settings.tombstone_lifetime_s,
             )
             del self._states_by_id[event.entry_id]
             self._view = None
@@ -154,39 +167,39 @@
 
     @apply.register
     def _(self, event: events.EntryHeard, *, now_s):
-        state, rejection = self._find(event)
+        state, rejection = self._find_state(event)
         if state is None:
             return rejection
-        before = (state.weight, self._is_heard(state, now_s=now_s))
-        reason = state.hear(event, now_s=now_s)
+        previous = (state.weight, self._is_in_contact(state, now_s=now_s))
+        reason = state.record_message(event, now_s=now_s)
         if reason is not None:
             return _reject(event, reason)
-        if before != (state.weight, self._is_heard(state, now_s=now_s)):
+        if previous != (state.weight, self._is_in_contact(state, now_s=now_s)):
             self._view = None
         return ()
 
     @apply.register
     def _(self, event: events.DataCentreOut, *, now_s):
-        self._out.add(event.data_centre)
+        self._excluded_data_centres.add(event.data_centre)
         self._view = None
         return ()
 
     @apply.register
     def _(self, event: events.DataCentreIn, *, now_s):
-        self._out.discard(event.data_centre)
+        self._excluded_data_centres.discard(event.data_centre)
         self._view = None
         return ()
 
     @apply.register
     def _(self, event: events.TargetsHeard, *, now_s):
-        self._contacts.hear_targets(event, now_s=now_s)
+        self._contacts.record_target_contacts(event, now_s=now_s)
         return ()
 
     @apply.register
     def _(self, event: events.Ticked, *, now_s):
         self._contacts.tick(now_s=now_s)
         self._view = None
-        reason = self._judge(now_s=now_s)
+        reason = self._find_cut_off_reason(now_s=now_s)
         if reason is self._cut_off:
             return ()
         self._cut_off = reason
@@ -194,12 +207,12 @@
 
     @apply.register
     def _(self, event: events.DrainStarted, *, now_s):
-        own = self._states_by_id.get(self._entry_id)
-        if own is not None:
-            own.leaving = True
+        own_state = self._states_by_id.get(self._entry_id)
+        if own_state is not None:
+            own_state.leaving = True
             self._view = None
-        # Other entries name this one until they have heard of its leaving,
-        # which outlasts each answer that this one has given.
+        # Other entries may return this one until they learn that it is
+        # leaving; answers given until then stay valid for their lifetime.
         complete_s = (
             now_s
             + self._settings.notice_delay_s
@@ -208,7 +221,7 @@
         )
         return (decisions.DrainPlanned(drain_complete_at_s=complete_s),)
 
-    def _find(self, event):
+    def _find_state(self, event):
         state = self._states_by_id.get(event.entry_id)
         if state is None:
             reason = decisions.RejectionReason.UNKNOWN_ENTRY
@@ -220,11 +233,11 @@
             return state, ()
         return None, _reject(event, reason)
 
-    def _forget_ended(self, *, now_s):
-        for entry_id, ended in tuple(self._ended_by_id.items()):
-            if ended.until_s > now_s:
+    def _remove_expired_tombstones(self, *, now_s):
+        for entry_id, removed in tuple(self._removed_by_id.items()):
+            if removed.expires_at_s > now_s:
                 break
-            del self._ended_by_id[entry_id]
+            del self._removed_by_id[entry_id]
 
 
 def _reject(event, reason):
--- a/packages/savoryyoke/savoryyoke/directory/entries.py
+++ b/packages/savoryyoke/savoryyoke/directory/entries.py
@@ -1,4 +1,4 @@
-"""Hold what is known about one entry of the fleet."""
+"""Track the state of one entry of the fleet."""
 
 import bisect
 import dataclasses
@@ -9,62 +9,64 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class EndedEntry:
-    """Remember the last incarnation of an entry that is gone.
+class RemovedEntry:
+    """Record the last incarnation of an entry that was removed.
 
-    An entry that was cut off for a while may come back, but one that was
-    leaving never stops leaving.
+    The same incarnation may be added again, for example after it was cut
+    off, but one that was leaving stays so.
     """
 
     incarnation: int
     leaving: bool
-    until_s: float
+    expires_at_s: float
 
 
 class EntryState:
-    """Track the reachability and the weight of an entry."""
+    """Track the last message and the weight of an entry."""
 
-    def __init__(self, *, seen, settings):
+    def __init__(self, *, event, settings):
         self._settings = settings
-        self.entry_id = seen.entry_id
-        self.incarnation = seen.incarnation
-        self.data_centre = seen.data_centre
-        self.address = seen.address
+        self.entry_id = event.entry_id
+        self.incarnation = event.incarnation
+        self.data_centre = event.data_centre
+        self.address = event.address
         self.leaving = False
-        self.heard_at_s = None
+        self.last_message_at_s = None
         self._stamp_s = None
         self._lateness = lateness.LatenessEstimator()
-        self._step = 0
+        self._load_step = 0
 
-    def hear(self, heard, *, now_s):
-        """Take a message of the entry; return why it is rejected."""
-        if not _is_sane(heard):
+    def record_message(self, message, *, now_s):
+        """Record a message; return the reason to reject it, or None."""
+        if not _is_valid(message):
             return decisions.RejectionReason.ABSURD_VALUE
-        if self._stamp_s is not None and heard.stamp_s <= self._stamp_s:
+        if self._stamp_s is not None and message.stamp_s <= self._stamp_s:
             return decisions.RejectionReason.OUT_OF_ORDER
-        self._stamp_s = heard.stamp_s
-        # A process that wakes from a pause reads messages of long ago.
-        late_s = self._lateness.add(stamp_s=heard.stamp_s, now_s=now_s)
-        self.heard_at_s = now_s - late_s
-        self._step = self._find_step(heard.load)
+        self._stamp_s = message.stamp_s
+        # After a pause of this process, queued messages are read late.
+        late_s = self._lateness.add(stamp_s=message.stamp_s, now_s=now_s)
+        self.last_message_at_s = now_s - late_s
+        self._load_step = self._find_load_step(message.load)
         return None
 
-    def _find_step(self, load):
+    def _find_load_step(self, load):
         steps = self._settings.load_steps
-        step = bisect.bisect_right(steps, load) - 1
-        if step < self._step:
-            # Callers move back only after the load has clearly fallen.
+        load_step = bisect.bisect_right(steps, load) - 1
+        if load_step < self._load_step:
+            # Hysteresis keeps callers from moving back and forth.
             load += self._settings.load_hysteresis
-            step = min(self._step, bisect.bisect_right(steps, load) - 1)
-        return max(0, step)
+            load_step = min(
+                self._load_step, bisect.bisect_right(steps, load) - 1
+            )
+        return max(0, load_step)
 
     @property
     def weight(self):
-        """Return the share of callers that the entry should get."""
-        return self._settings.load_weights[self._step]
+        """Return the relative share of callers that the entry should get."""
+        return self._settings.load_weights[self._load_step]
 
     def describe(self):
-        """Return the entry as callers see it."""
+        """Return the `EntryAddress` for answers to callers."""
         return decisions.EntryAddress(
             entry_id=self.entry_id,
             address=self.address,
@@ -72,6 +74,6 @@
         )
 
 
-def _is_sane(heard):
-    values = (heard.load, heard.stamp_s)
+def _is_valid(message):
+    values = (message.load, message.stamp_s)
     return all(math.isfinite(value) and value >= 0.0 for value in values)
--- a/packages/savoryyoke/savoryyoke/directory/events.py
+++ b/packages/savoryyoke/savoryyoke/directory/events.py
@@ -1,4 +1,4 @@
-"""Define what a directory learns, one class for each event."""
+"""Define the events that change the state of a directory."""
 
 import dataclasses
 
@@ -55,14 +55,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DataCentreIn:
-    """Report that operators brought a data centre back."""
+    """Report that operators put a data centre back in."""
 
     data_centre: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetsHeard:
-    """Report how many of the connected targets were heard lately."""
+    """Report how many connected targets sent a message recently."""
 
     heard: int
     expected: int
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Report that time has passed; expected twice a second or more."""
+    """Report that time has passed; apply it at least every 0.5 s."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/packages/savoryyoke/savoryyoke/directory/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/directory/exceptions.py
@@ -6,8 +6,8 @@
 
 
 class UnknownEvent(DirectoryError):
-    """Report an event that the directory has no rule for."""
+    """Report an event of a type that the directory does not handle."""
 
     def __init__(self, *, event):
-        super().__init__(f'no rule for {type(event).__name__}')
+        super().__init__(f'unsupported event type {type(event).__name__}')
         self.event = event
