--- a/packages/savoryyoke-entry/savoryyoke_entry/directories.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/directories.py
@@ -84,9 +84,11 @@
                 continue
             self._hear(row, member, is_trusted=not membership.is_suspect)
         self._feed(
-            events.TargetsHeard(
-                heard=self._fleet.count_heard(conf.TARGET_SILENCE_S),
-                expected=self._fleet.links_wanted,
+            events.TargetContactsReported(
+                in_contact_count=self._fleet.count_heard(
+                    conf.TARGET_SILENCE_S
+                ),
+                expected_count=self._fleet.links_wanted,
             )
         )
         for change in self._feed(events.Ticked()):
@@ -111,7 +113,7 @@
             self._feed_entry(events.EntryLeaving, row.vm_id)
         if is_trusted and member.state in _STATES_HEARD:
             self._feed(
-                events.EntryHeard(
+                events.EntryMessageReceived(
                     entry_id=row.vm_id,
                     incarnation=generation,
                     stamp_s=self._clock(),
--- a/packages/savoryyoke/savoryyoke/directory/contacts.py
+++ b/packages/savoryyoke/savoryyoke/directory/contacts.py
@@ -44,9 +44,9 @@
             return decisions.CutOffReason.PAUSED
         targets_expected = targets_in_contact = 0
         if self._target_contacts is not None:
-            targets_expected = self._target_contacts.expected
+            targets_expected = self._target_contacts.expected_count
             if self.is_recent(self._target_contacts_at_s, now_s=now_s):
-                targets_in_contact = self._target_contacts.heard
+                targets_in_contact = self._target_contacts.in_contact_count
         if targets_expected and not targets_in_contact:
             return decisions.CutOffReason.NO_TARGETS
         has_few_peers = (
--- a/packages/savoryyoke/savoryyoke/directory/directory.py
+++ b/packages/savoryyoke/savoryyoke/directory/directory.py
@@ -166,7 +166,7 @@
         return rejection
 
     @apply.register
-    def _(self, event: events.EntryHeard, *, now_s):
+    def _(self, event: events.EntryMessageReceived, *, now_s):
         state, rejection = self._find_state(event)
         if state is None:
             return rejection
@@ -191,7 +191,7 @@
         return ()
 
     @apply.register
-    def _(self, event: events.TargetsHeard, *, now_s):
+    def _(self, event: events.TargetContactsReported, *, now_s):
         self._contacts.record_target_contacts(event, now_s=now_s)
         return ()
 
--- a/packages/savoryyoke/savoryyoke/directory/events.py
+++ b/packages/savoryyoke/savoryyoke/directory/events.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class EntryHeard:
+class EntryMessageReceived:
     """Report a message from an entry, with its load.
 
     ``load`` is the used share of the entry's capacity; ``stamp_s`` is read
@@ -61,11 +61,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class TargetsHeard:
+class TargetContactsReported:
     """Report how many connected targets sent a message recently."""
 
-    heard: int
-    expected: int
+    in_contact_count: int
+    expected_count: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/packages/savoryyoke/tests/directory/test_directory.py
+++ b/packages/savoryyoke/tests/directory/test_directory.py
@@ -16,13 +16,13 @@
 
 def apply_message(entry_directory, number, *, now_s, load=0.0, stamp_s=None):
     """Apply a message of an entry; return the decisions."""
-    heard = events.EntryHeard(
+    message = events.EntryMessageReceived(
         entry_id=f'entry-{number}',
         incarnation=1,
         stamp_s=now_s + 50.0 if stamp_s is None else stamp_s,
         load=load,
     )
-    return entry_directory.apply(heard, now_s=now_s)
+    return entry_directory.apply(message, now_s=now_s)
 
 
 def apply_seen(entry_directory, number, *, now_s):
@@ -43,8 +43,10 @@
     entry_directory.apply(events.Ticked(), now_s=now_s)
     for number in numbers:
         apply_message(entry_directory, number, now_s=now_s)
-    heard = events.TargetsHeard(heard=targets, expected=12)
-    entry_directory.apply(heard, now_s=now_s)
+    contacts = events.TargetContactsReported(
+        in_contact_count=targets, expected_count=12
+    )
+    entry_directory.apply(contacts, now_s=now_s)
 
 
 def make_directory(*, entries=9):
@@ -310,8 +312,10 @@
         self.assert_cut_off(entry_directory, reason, now_s=60.0)
         (changed,) = entry_directory.apply(events.Ticked(), now_s=60.0)
         self.assertEqual(reason, changed.reason)
-        targets = events.TargetsHeard(heard=1, expected=12)
-        entry_directory.apply(targets, now_s=60.1)
+        contacts = events.TargetContactsReported(
+            in_contact_count=1, expected_count=12
+        )
+        entry_directory.apply(contacts, now_s=60.1)
         for number in range(1, 9):
             apply_message(entry_directory, number, now_s=60.1, stamp_s=51.0)
         isolated = decisions.CutOffReason.ISOLATED
--- a/tools/measure/routing.py
+++ b/tools/measure/routing.py
@@ -184,7 +184,7 @@
             address='',
         )
         known.apply(seen, now_s=0.0)
-        heard = directory_events.EntryHeard(
+        heard = directory_events.EntryMessageReceived(
             entry_id=entry_id, incarnation=1, stamp_s=1.0, load=0.1
         )
         known.apply(heard, now_s=0.0)
