--- a/packages/savoryyoke/savoryyoke/routing/choices.py
+++ b/packages/savoryyoke/savoryyoke/routing/choices.py
@@ -128,7 +128,7 @@
         wait_s = state.estimate_wait(
             load, call_s=self._summary.mean_call_s, now_s=self._now_s
         )
-        if not state.has_room(
+        if not state.has_capacity(
             load,
             team=request.team,
             priority=request.priority,
@@ -189,14 +189,14 @@
 
     def _pick(self, candidates):
         best_s = min(candidate.score_s for candidate in candidates)
-        slack_s = max(
+        tolerance_s = max(
             self._settings.near_equal_s,
             abs(best_s) * self._settings.near_equal_ratio,
         )
         near_equal = [
             candidate
             for candidate in candidates
-            if candidate.score_s <= best_s + slack_s
+            if candidate.score_s <= best_s + tolerance_s
         ]
         choice = self._random_source.choose_item(near_equal)
         state = self._registry.get(choice.target_id)
--- a/packages/savoryyoke/savoryyoke/routing/conf.py
+++ b/packages/savoryyoke/savoryyoke/routing/conf.py
@@ -9,6 +9,11 @@
 
     ``occupancy_limits`` gives, by priority from the least important, the
     highest load of a target as a multiple of its concurrency limit.
+    ``subset_size`` is the intended mean number of targets of an entry.
+    ``cached_digests_limit`` bounds the index of one target, and
+    ``digests_limit`` the digests used of one request.
+    ``unreported_target_limit`` replaces the concurrency limit of a target
+    that has not reported.
     """
 
     # Connections.
@@ -20,7 +25,7 @@
     random_candidates: int = 2
     prefix_candidates: int = 2
     affinity_steps: int = 3
-    rare_holders_limit: int = 3
+    distinctive_targets_limit: int = 3
     affinity_load_factor: float = 1.25
     near_equal_s: float = 0.005
     near_equal_ratio: float = 0.1
@@ -57,13 +62,13 @@
     # Share of requests, by priority, that try a cold target first.
     warm_up_shares: tuple[float, ...] = (1.0, 1.0, 0.1, 0.0)
     warm_up_bonus_s: float = 2.0
-    unknown_limit: int = 1
+    unreported_target_limit: int = 1
 
     # Index of prefix caches.
     cached_digests_limit: int = 2000
     digests_limit: int = 64
     confidence_weight: float = 0.2
-    answer_confirmation_s: float = 60.0
+    confirmation_lifetime_s: float = 60.0
 
     # Refusals.
     occupancy_limits: tuple[float, ...] = (1.0, 1.5, 2.0, 3.0)
--- a/packages/savoryyoke/savoryyoke/routing/finders.py
+++ b/packages/savoryyoke/savoryyoke/routing/finders.py
@@ -44,7 +44,7 @@
         """Add a cold target whose quota allows another call.
 
         A target without calls would stay cold. Unimportant requests are
-        used for this more often, see ``warm_up_shares``.
+        used for this more often, see ``RoutingSettings.warm_up_shares``.
         """
         cold_states = self._summary.cold_states
         shares = self._settings.warm_up_shares
@@ -64,7 +64,9 @@
             found_by_id[state.target_id] = (state, reason)
 
     def _add_caching_targets(self, found_by_id, *, digests):
-        caching_ids = list(self._prefix_index.find_targets(digests=digests))
+        caching_ids = list(
+            self._prefix_index.find_caching_targets(digests=digests)
+        )
         reason = decisions.ChoiceReason.PREFIX
         for _ in range(
             min(len(caching_ids), self._settings.prefix_candidates)
--- a/packages/savoryyoke/savoryyoke/routing/prefixes.py
+++ b/packages/savoryyoke/savoryyoke/routing/prefixes.py
@@ -6,8 +6,8 @@
 class PrefixCacheIndex:
     """Hold the expected contents of each target's prefix cache.
 
-    The index may be wrong; an error costs time but no call fails. It is
-    limited in size, its digests are dropped after a missing event, and they
+    The index only affects latency, so it may be wrong. Its size is limited,
+    digests are dropped after a missing event, and the digests of a target
     are weighted by how often answers confirm them.
     """
 
@@ -36,42 +36,46 @@
         ``answered_at_s`` is the time of the answer that showed this, or
         None if a cache event reported it.
         """
-        cached = self._digests_by_target_id.setdefault(
+        cached_digests = self._digests_by_target_id.setdefault(
             target_id, collections.OrderedDict()
         )
         for digest in digests:
-            if answered_at_s is not None or digest not in cached:
-                cached[digest] = answered_at_s
-            cached.move_to_end(digest)
+            if answered_at_s is not None or digest not in cached_digests:
+                cached_digests[digest] = answered_at_s
+            cached_digests.move_to_end(digest)
             self._target_ids_by_digest.setdefault(digest, {})[target_id] = None
-        excess = len(cached) - self._settings.cached_digests_limit
-        for _ in range(excess):
-            self._remove_digest(target_id=target_id, digest=next(iter(cached)))
+        excess_count = (
+            len(cached_digests) - self._settings.cached_digests_limit
+        )
+        for _ in range(excess_count):
+            self._remove_digest(
+                target_id=target_id, digest=next(iter(cached_digests))
+            )
 
     def remove(self, *, target_id, digests):
         """Remove digests that a target no longer caches."""
-        cached = self._digests_by_target_id.get(target_id, {})
+        cached_digests = self._digests_by_target_id.get(target_id, {})
         for digest in digests:
-            if digest in cached:
+            if digest in cached_digests:
                 self._remove_digest(target_id=target_id, digest=digest)
 
     def drop(self, *, target_id):
         """Drop all digests of a target; return their number."""
-        cached = self._digests_by_target_id.pop(target_id, {})
-        for digest in cached:
+        cached_digests = self._digests_by_target_id.pop(target_id, {})
+        for digest in cached_digests:
             self._unindex(target_id=target_id, digest=digest)
-        return len(cached)
+        return len(cached_digests)
 
     def drop_unconfirmed(self, *, target_id, now_s):
         """Drop digests that no recent answer confirmed; return their number.
 
         A missing event may have evicted any of them.
         """
-        cached = self._digests_by_target_id.get(target_id, {})
-        oldest_s = now_s - self._settings.answer_confirmation_s
+        cached_digests = self._digests_by_target_id.get(target_id, {})
+        oldest_s = now_s - self._settings.confirmation_lifetime_s
         dropped = [
             digest
-            for digest, answered_at_s in cached.items()
+            for digest, answered_at_s in cached_digests.items()
             if answered_at_s is None or answered_at_s < oldest_s
         ]
         self.remove(target_id=target_id, digests=dropped)
@@ -85,17 +89,17 @@
 
     def count_matched(self, *, target_id, digests):
         """Return how many leading digests a target is expected to hold."""
-        cached = self._digests_by_target_id.get(target_id)
-        if not cached:
+        cached_digests = self._digests_by_target_id.get(target_id)
+        if not cached_digests:
             return 0
-        matched = 0
+        matched_count = 0
         for digest in digests:
-            if digest not in cached:
+            if digest not in cached_digests:
                 break
-            matched += 1
-        return matched
+            matched_count += 1
+        return matched_count
 
-    def find_targets(self, *, digests):
+    def find_caching_targets(self, *, digests):
         """Return the ids of the targets that hold the longest prefix."""
         for digest in reversed(digests):
             target_ids = self._target_ids_by_digest.get(digest)
@@ -109,7 +113,7 @@
         Many targets hold a prefix that many requests share, such as a
         system prompt; the digests after it distinguish conversations.
         """
-        limit = self._settings.rare_holders_limit
+        limit = self._settings.distinctive_targets_limit
         for digest in digests:
             target_ids = self._target_ids_by_digest.get(digest, ())
             if len(target_ids) <= limit:
--- a/packages/savoryyoke/savoryyoke/routing/targets.py
+++ b/packages/savoryyoke/savoryyoke/routing/targets.py
@@ -236,7 +236,7 @@
     def limit(self):
         """Return how many calls the target runs at once."""
         if self.report is None:
-            return self._settings.unknown_limit
+            return self._settings.unreported_target_limit
         return self.report.limit
 
     def read_first_token(self, *, now_s, default):
@@ -295,7 +295,7 @@
         age_s = max(0.0, now_s - self.received_at_s)
         return math.exp(-age_s / self._settings.report_decay_s)
 
-    def has_room(
+    def has_capacity(
         self, load, *, team, priority, now_s, ignore_slow_start=False
     ):
         """Return whether another call of this priority may be sent.
--- a/packages/savoryyoke/tests/routing/test_health.py
+++ b/packages/savoryyoke/tests/routing/test_health.py
@@ -117,7 +117,7 @@
         self.assertIsInstance(queued, decisions.Chosen)
 
     def test_single_place_rotates_over_entries(self):
-        """Give each of eight entries the only call in one of eight periods."""
+        """Let one entry of eight send the only call in one period of 8."""
         request_router = support.make_router(targets=1)
         turns = 0
         for stamp_s in range(100, 108):
--- a/packages/savoryyoke/tests/routing/test_prefixes.py
+++ b/packages/savoryyoke/tests/routing/test_prefixes.py
@@ -18,10 +18,10 @@
         """Return a router with an event that target 7 cached the prompt."""
         request_router = support.make_router(affinity_steps=0)
         support.warm(request_router, running=8)
-        self.see(request_router, sequence=5, added=self.PROMPT)
+        self.apply_cache_event(request_router, sequence=5, added=self.PROMPT)
         return request_router
 
-    def see(self, request_router, **changes):
+    def apply_cache_event(self, request_router, **changes):
         """Apply a cache event of target 7; return the decisions."""
         event = events.CacheEventSeen(
             target_id='target-7', incarnation=1, **changes
@@ -39,13 +39,17 @@
         """Drop digests on a gap, not on the next or a repeated event."""
         request_router = self.make_router()
         self.assertEqual(100, self.count(request_router))
-        self.assertEqual((), self.see(request_router, sequence=6))
-        (rejected,) = self.see(request_router, sequence=6, reset=True)
+        self.assertEqual(
+            (), self.apply_cache_event(request_router, sequence=6)
+        )
+        (rejected,) = self.apply_cache_event(
+            request_router, sequence=6, reset=True
+        )
         self.assertEqual(
             decisions.RejectionReason.OUT_OF_ORDER, rejected.reason
         )
         self.assertEqual(100, self.count(request_router))
-        (dropped,) = self.see(request_router, sequence=8)
+        (dropped,) = self.apply_cache_event(request_router, sequence=8)
         self.assertEqual((40, 'gap'), (dropped.count, dropped.reason))
         self.assertLess(self.count(request_router), 40)
 
@@ -118,17 +122,23 @@
     def test_evicted_prefix_is_no_longer_matched(self):
         """Match no further than the first evicted digest."""
         request_router = self.make_router()
-        self.see(request_router, sequence=6, evicted=self.PROMPT[:1])
+        self.apply_cache_event(
+            request_router, sequence=6, evicted=self.PROMPT[:1]
+        )
         self.assertLess(self.count(request_router), 40)
 
     def test_reset_drops_and_size_is_bounded(self):
         """Drop all digests on a reset, and the oldest beyond the limit."""
         request_router = self.make_router()
-        (dropped,) = self.see(request_router, sequence=6, reset=True)
+        (dropped,) = self.apply_cache_event(
+            request_router, sequence=6, reset=True
+        )
         self.assertEqual((40, 'reset'), (dropped.count, dropped.reason))
         digests = tuple(b'%d' % number for number in range(5000))
-        self.see(request_router, sequence=7, added=digests)
-        (dropped,) = self.see(request_router, sequence=8, reset=True)
+        self.apply_cache_event(request_router, sequence=7, added=digests)
+        (dropped,) = self.apply_cache_event(
+            request_router, sequence=8, reset=True
+        )
         self.assertLessEqual(dropped.count, 2000)
 
     def test_benefit_is_bounded(self):
