--- a/packages/savoryyoke/savoryyoke/directory/events.py
+++ b/packages/savoryyoke/savoryyoke/directory/events.py
@@ -1,4 +1,4 @@
-"""Define what a directory learns, one class for each event."""
+"""Define the events that change the state of a directory."""
 
 import dataclasses
 
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class EntryHeard:
+class EntryMessageReceived:
     """Report a message from an entry, with its load.
 
     ``load`` is the used share of the entry's capacity; ``stamp_s`` is read
@@ -55,22 +55,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DataCentreIn:
-    """Report that operators brought a data centre back."""
+    """Report that operators put a data centre back in."""
 
     data_centre: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class TargetsHeard:
-    """Report how many of the connected targets were heard lately."""
+class TargetContactsReported:
+    """Report how many connected targets sent a message recently."""
 
-    heard: int
-    expected: int
+    in_contact_count: int
+    expected_count: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Report that time has passed; expected twice a second or more."""
+    """Report that time has passed; apply it at least every 0.5 s."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
