--- a/packages/savoryyoke-agent/savoryyoke_agent/__init__.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/__init__.py
@@ -1,5 +1,5 @@
-"""Run beside one engine rank and keep its group's expert map balanced.
+"""Run beside the engine of one rank and balance its group's experts.
 
-``daemon.RankDaemon`` assembles the process; ``ports`` says what an adapter
-of a platform provides.
+``daemon.RankDaemon`` assembles the process; ``ports`` defines what the
+adapter of a platform has to provide.
 """
--- a/packages/savoryyoke-agent/savoryyoke_agent/balancer.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/balancer.py
@@ -1,4 +1,4 @@
-"""Plan maps on the leader's VM."""
+"""Plan expert maps on the leader's VM."""
 
 import collections
 
@@ -16,12 +16,13 @@
 
 
 class Balancer:
-    """Own the estimate of demand and plan on it.
+    """Estimate the demand for experts and plan maps for it.
 
-    ``contents`` holds what is known of maps.
+    ``contents`` stores the maps that this agent has received. ``clock``
+    returns seconds.
 
-    A slice of a search takes some 50 ms on the smallest VMs; between two
-    slices the process serves its sockets.
+    Planning one set of experts takes some 50 ms on the smallest VMs; after
+    each set other tasks of the process run.
     """
 
     def __init__(self, *, clock, policy=None):
@@ -31,10 +32,10 @@
         self._shape = None
         self.contents = contents.MapContents()
         self._steps = collections.deque()
-        self._kept_because = None
+        self._last_keep_reason = None
 
     def set_shape(self, shape):
-        """Take over the shape of the group; a new one forgets all."""
+        """Set the ``GroupShape``; a changed one discards demand and maps."""
         if shape == self._shape:
             return
         self._shape = shape
@@ -43,87 +44,94 @@
         )
         self.contents.set_shape(shape)
 
-    def note_choices(self, choices):
-        """Take in how often experts were chosen, set by set."""
+    def add_choices(self, choices):
+        """Add the number of choices of each expert, set by set."""
         if self._demand is not None:
             self._demand.add(choices, now_s=self._clock())
 
-    def note_step(self, step):
-        """Take in the number of the last pass."""
+    def record_pass(self, step):
+        """Record the number of the last pass that was begun."""
         now_s = self._clock()
         self._steps.append((now_s, step))
-        while now_s - self._steps[0][0] > conf.PACE_WINDOW_S:
+        while now_s - self._steps[0][0] > conf.PASS_TIME_WINDOW_S:
             self._steps.popleft()
 
-    def pass_s(self):
-        """Return the usual time of a pass; 0 while there are too few."""
+    def mean_pass_s(self):
+        """Return the mean time of a pass; 0 with fewer than three passes."""
         if not self._steps:
             return 0.0
-        first_s, first = self._steps[0]
-        last_s, last = self._steps[-1]
-        if last - first < 3:
+        oldest_s, oldest_step = self._steps[0]
+        newest_s, newest_step = self._steps[-1]
+        if newest_step - oldest_step < 3:
             return 0.0
-        return (last_s - first_s) / (last - first)
+        return (newest_s - oldest_s) / (newest_step - oldest_step)
 
-    async def plan(self, *, version, paces):
-        """Return the ``planner.Plan`` that pays, or None.
+    async def plan(self, *, version, slowdowns):
+        """Return a ``planner.Plan``, or None if no map gains enough.
 
-        ``paces`` holds each rank's time over the usual one, by rank.
+        ``version`` is that of the map in use. ``slowdowns`` holds for each
+        rank the time that it takes for a pass, divided by the usual time.
         """
-        present = self.contents.find_experts(version, ranks=len(paces))
-        if present is None or self._demand is None:
-            return self._keep(version, 'content-unknown')
-        if self.pass_s() < self._policy.min_pass_s:
-            return self._keep(version, 'passes-short')
-        wanted = self._demand.estimate(now_s=self._clock())
+        present_map = self.contents.find_experts(version, ranks=len(slowdowns))
+        if present_map is None or self._demand is None:
+            return self._keep_map(version, 'content-unknown')
+        if self.mean_pass_s() < self._policy.min_pass_s:
+            return self._keep_map(version, 'passes-short')
+        estimated_demand = self._demand.estimate(now_s=self._clock())
         if self._demand.shift_distance is not None:
             logs.write_event(
                 'demand_shifted', distance=self._demand.shift_distance
             )
-        if wanted is None:
-            return self._keep(version, 'demand-unknown')
-        if self._is_even(present, wanted, paces):
-            return self._keep(version, 'even')
-        plan = await self._search(present, wanted, paces)
+        if estimated_demand is None:
+            return self._keep_map(version, 'demand-unknown')
+        if self._is_balanced(present_map, estimated_demand, slowdowns):
+            return self._keep_map(version, 'even')
+        plan = await self._search(present_map, estimated_demand, slowdowns)
         if plan.gain < self._policy.min_gain:
-            return self._keep(version, 'no-better-map')
-        self._kept_because = None
+            return self._keep_map(version, 'no-better-map')
+        self._last_keep_reason = None
         logs.write_event(
             'map_planned',
             version=version,
             peak_before=plan.peak_before,
             peak_after=plan.peak_after,
             copies=plan.copies,
-            pass_s=self.pass_s(),
+            pass_s=self.mean_pass_s(),
         )
         return plan
 
-    def _keep(self, version, reason):
-        """Log why the map stays, once for each reason in a row."""
-        if reason != self._kept_because:
-            self._kept_because = reason
+    def _keep_map(self, version, reason):
+        """Log why the map stays in use, unless the last reason was the same.
+
+        Return None.
+        """
+        if reason != self._last_keep_reason:
+            self._last_keep_reason = reason
             logs.write_event(
                 'map_kept',
                 version=version,
                 reason=reason,
-                pass_s=self.pass_s(),
+                pass_s=self.mean_pass_s(),
             )
 
-    def _is_even(self, present, wanted, paces):
+    def _is_balanced(self, present_map, estimated_demand, slowdowns):
+        """Return whether a perfectly even map would gain too little."""
         peaks = [
-            search.find_peak(ranks_experts, one, paces)
-            for ranks_experts, one in zip(present, wanted, strict=True)
+            search.find_peak(present_set, set_demand, slowdowns)
+            for present_set, set_demand in zip(
+                present_map, estimated_demand, strict=True
+            )
         ]
-        mean = sum(peaks) / len(peaks)
-        return 1 - 1 / mean < self._policy.min_gain
+        mean_peak = sum(peaks) / len(peaks)
+        return 1 - 1 / mean_peak < self._policy.min_gain
 
-    async def _search(self, present, wanted, paces):
+    async def _search(self, present_map, estimated_demand, slowdowns):
         slices = planner.plan_in_slices(
-            present,
-            wanted,
-            slowdowns=paces,
-            slots=self._shape.places,
-            max_copies_per_rank=self._shape.spare,
+            present_map,
+            estimated_demand,
+            slowdowns=slowdowns,
+            slots=self._shape.slots,
+            max_copies_per_rank=self._shape.max_copies_per_rank,
             min_reduction_per_copy=self._policy.min_reduction_per_copy,
         )
         while True:
--- a/packages/savoryyoke-agent/savoryyoke_agent/daemon.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/daemon.py
@@ -32,15 +32,20 @@
 
 
 class RankDaemon:
-    """Own the agent of one rank and, at times, the leader of its group."""
+    """Run the agent of one rank and, while elected, the leader of its group.
+
+    ``engine`` implements ``ports.Engine`` and ``member_finder``
+    ``ports.MemberFinder``. ``read_published_values()`` returns items by key
+    from the platform, or None. ``clock`` returns seconds.
+    """
 
     def __init__(
         self,
         *,
         settings,
         engine,
-        members,
-        read_all,
+        member_finder,
+        read_published_values,
         clock=time.monotonic,
         random_source=None,
     ):
@@ -50,15 +55,17 @@
         self._random = random_source or random.SystemRandom()
         self._agent = agent.RankAgent()
         self._leader = None
-        self._directed_s = clock()
-        self._reported_s = clock()
-        self._reported = None
-        self._published_s = clock()
-        self._wake = anyio.Event()
+        self._last_directive_s = clock()
+        self._last_report_s = clock()
+        self._last_report_fields = None
+        self._last_publish_s = clock()
+        self._cycle_due = anyio.Event()
         self._balancer = balancer.Balancer(clock=clock)
         self._choices = demand.ChoiceCounter()
         self._membership = membership.GroupMembership(
-            settings=settings, members=members, read_all=read_all
+            settings=settings,
+            member_finder=member_finder,
+            read_published_values=read_published_values,
         )
         self._exchange = exchange.Exchange(
             host=settings.own_host,
@@ -75,7 +82,7 @@
             clock=clock,
         )
         self._outbox = []
-        self._stopped = anyio.Event()
+        self._stopping = anyio.Event()
 
     async def run(self):
         """Run until stopped by a signal."""
@@ -90,31 +97,31 @@
         async with anyio.create_task_group() as tasks:
             for task in (
                 self._exchange.run,
-                self._work,
+                self._run_cycles,
                 self._delivery.run,
                 self._send_choices,
-                self._learn_members,
+                self._refresh_members,
                 self._plan,
-                self._report_pace,
+                self._report_slowdown,
                 self._watch_signals,
             ):
                 tasks.start_soon(supervision.keep_running, task)
-            await self._stopped.wait()
-            await self._end_change()
+            await self._stopping.wait()
+            await self._finish_change()
             tasks.cancel_scope.cancel()
         logs.write_event('stopped', vm=self._settings.vm_id)
 
     def stop(self):
-        """Begin a planned stop."""
-        self._stopped.set()
+        """Stop after the map change that this process leads, if any."""
+        self._stopping.set()
 
-    async def _end_change(self):
-        """Return when this process leads no change that holds its group."""
-        with anyio.move_on_after(conf.STOP_CHANGE_S):
+    async def _finish_change(self):
+        """Wait a limited time for the end of a map change that is led here."""
+        with anyio.move_on_after(conf.STOP_CHANGE_TIMEOUT_S):
             while self._leader is not None and (
                 self._leader.phase not in (_Phase.IDLE, _Phase.LEARN)
             ):
-                await anyio.sleep(conf.OBSERVE_CHANGING_S)
+                await anyio.sleep(conf.OBSERVE_INTERVAL_CHANGING_S)
 
     async def _watch_signals(self):
         with anyio.open_signal_receiver(
@@ -125,24 +132,24 @@
                 if received is not signal.SIGHUP:
                     self.stop()
 
-    async def _work(self):
-        """Observe, order, report and lead, again and again."""
+    async def _run_cycles(self):
+        """Repeat the cycle: observe the engine, order, report and lead."""
         while True:
             state = await self._engine.observe()
             if state is not None:
-                await self._carry_out(
+                await self._execute_order(
                     self._agent.apply(events.EngineObserved(state=state))
                 )
-                self._balancer.note_step(state.step)
+                self._balancer.record_pass(state.step)
                 await self._report()
                 await self._lead()
             await self._pause()
 
-    async def _carry_out(self, order):
-        """Give an order to the own engine and look at what came of it."""
+    async def _execute_order(self, order):
+        """Send an order to the own engine and apply its result."""
         if order is None:
             return
-        result = await self._engine.give(order)
+        result = await self._engine.send_order(order)
         self._agent.apply(events.OrderEnded(result=result))
         logs.write_event(
             'order_given',
@@ -152,20 +159,20 @@
             step=getattr(order, 'step', ''),
         )
         if result is events.OrderResult.DONE:
-            # The next observation comes at once.
-            self._wake.set()
+            # Observe the effect of the order without a pause.
+            self._cycle_due.set()
 
     async def _pause(self):
-        with anyio.move_on_after(self._find_pause_s()):
-            await self._wake.wait()
-        self._wake = anyio.Event()
+        with anyio.move_on_after(self._choose_observe_interval_s()):
+            await self._cycle_due.wait()
+        self._cycle_due = anyio.Event()
 
-    def _find_pause_s(self):
+    def _choose_observe_interval_s(self):
         if self._phase() not in (_Phase.IDLE, _Phase.LEARN):
-            return conf.OBSERVE_CHANGING_S
+            return conf.OBSERVE_INTERVAL_CHANGING_S
         if self._leader is None and self._is_group_large():
-            return conf.OBSERVE_IDLE_LARGE_S
-        return conf.OBSERVE_IDLE_S
+            return conf.OBSERVE_INTERVAL_IDLE_LARGE_S
+        return conf.OBSERVE_INTERVAL_IDLE_S
 
     def _is_group_large(self):
         state = self._agent.state
@@ -178,7 +185,7 @@
         return directive.phase if directive else _Phase.LEARN
 
     async def _report(self):
-        """Tell the leader the state of this rank."""
+        """Send the state of this rank to the leader if changed or due."""
         directive = self._agent.directive
         if directive is None:
             return
@@ -186,11 +193,16 @@
         if self._leader is not None:
             self._apply_to_leader(events.RankReported(report=report))
             return
-        reported = _find_essence(report)
-        due_s = self._reported_s + self._find_repeat_s(directive.phase)
-        if reported == self._reported and self._clock() < due_s:
+        report_fields = _select_change_fields(report)
+        due_s = self._last_report_s + self._choose_repeat_interval_s(
+            directive.phase
+        )
+        if report_fields == self._last_report_fields and self._clock() < due_s:
             return
-        self._reported, self._reported_s = reported, self._clock()
+        self._last_report_fields, self._last_report_s = (
+            report_fields,
+            self._clock(),
+        )
         await self._exchange.send(report, [directive.leader_host])
 
     def _build_report(self):
@@ -202,35 +214,38 @@
 
     async def _lead(self):
         if self._leader is None:
-            self._stand_if_due()
+            self._become_leader_if_due()
         if self._leader is not None:
-            repeat_s = self._find_repeat_s(self._leader.phase)
-            if self._clock() - self._published_s >= repeat_s:
-                self._published_s = self._clock()
+            repeat_s = self._choose_repeat_interval_s(self._leader.phase)
+            if self._clock() - self._last_publish_s >= repeat_s:
+                self._last_publish_s = self._clock()
                 self._apply_to_leader(events.TimePassed())
         outbox, self._outbox = self._outbox, []
         for decision in outbox:
-            await self._act(decision)
+            await self._execute(decision)
 
-    def _find_repeat_s(self, phase):
-        """Return how often directives and reports repeat in a phase."""
+    def _choose_repeat_interval_s(self, phase):
+        """Return the interval for repeating directives and reports."""
         if phase in (_Phase.IDLE, _Phase.LEARN):
-            return conf.REPEAT_S
+            return conf.REPEAT_INTERVAL_S
         return max(
-            conf.OBSERVE_CHANGING_S,
-            conf.CHANGING_REPEAT_PER_RANK_S * self._agent.state.ranks,
+            conf.OBSERVE_INTERVAL_CHANGING_S,
+            conf.REPEAT_INTERVAL_CHANGING_PER_RANK_S * self._agent.state.ranks,
         )
 
-    def _stand_if_due(self):
-        """Become leader when none is heard."""
+    def _become_leader_if_due(self):
+        """Become the leader after too long without a directive.
+
+        Higher ranks wait longer, so that not all become leaders at once.
+        """
         state = self._agent.state
         wait_s = (
             rollout_conf.ELECTION_S
             + state.rank * rollout_conf.ELECTION_PER_RANK_S
         )
-        if self._clock() - self._directed_s < wait_s:
+        if self._clock() - self._last_directive_s < wait_s:
             return
-        if not self._membership.hosts():
+        if not self._membership.other_hosts():
             return
         term = models.Term(number=self._agent.term.number + 1, rank=state.rank)
         self._leader = leader.GroupLeader(
@@ -251,54 +266,57 @@
         self._apply_to_leader(events.TimePassed())
 
     def _apply_to_leader(self, event):
-        before = self._leader.phase
+        previous_phase = self._leader.phase
         self._outbox.extend(self._leader.apply(event, now_s=self._clock()))
-        if self._leader.phase is not before:
+        if self._leader.phase is not previous_phase:
             logs.write_event(
                 'change_advanced',
                 term=self._leader.term.number,
-                before=before.value,
+                before=previous_phase.value,
                 phase=self._leader.phase.value,
                 step=self._agent.state.step,
             )
 
-    async def _act(self, decision):
-        await _act_on(decision, self)
+    async def _execute(self, decision):
+        await _execute_decision(decision, self)
 
     async def publish(self, directive):
-        """Send a directive to all ranks, this one first."""
+        """Send a directive to the other ranks, then apply it to this one."""
         if self._leader is None or directive.term != self._leader.term:
-            # Decided before this process was replaced as the leader.
+            # Another leader has replaced this one since the decision.
             return
         if directive.term < self._agent.term:
             self._step_down(self._agent.term)
             return
-        self._directed_s = self._clock()
+        self._last_directive_s = self._clock()
         if directive.expert_map is not None:
-            self._delivery.announce(directive, self._agent.state)
-        await self._exchange.send(directive, self._membership.hosts())
+            self._delivery.send_map(directive, self._agent.state)
+        await self._exchange.send(directive, self._membership.other_hosts())
         order = self._agent.apply(
             events.DirectiveReceived(directive=directive)
         )
-        await self._carry_out(order)
+        await self._execute_order(order)
 
-    def remember(self, expert_map):
-        """Keep a map whose version may come into use."""
+    def store_map(self, expert_map):
+        """Store a map that may come into use."""
         self._balancer.contents.add_map(expert_map)
 
-    async def order_remotely(self, host, order):
-        """Order for a rank whose agent is silent, and look at the result."""
-        result = await self._engine.give(order, host=host)
+    async def send_remote_order(self, host, order):
+        """Send an order to the engine of a rank whose agent doesn't respond.
+
+        Then observe the engine.
+        """
+        result = await self._engine.send_order(order, host=host)
         logs.write_event(
             'remote_order_given',
             host=host,
             order=type(order).__name__.lower(),
             result=result.value,
         )
-        await self.observe_remotely(host)
+        await self.observe_remote_rank(host)
 
-    async def observe_remotely(self, host):
-        """Read the state of a rank whose agent is silent."""
+    async def observe_remote_rank(self, host):
+        """Observe the engine of a rank whose agent doesn't respond."""
         state = await self._engine.observe(host=host)
         if state is not None and self._leader is not None:
             report = models.RankReport(
@@ -307,62 +325,68 @@
             self._apply_to_leader(events.RankReported(report=report))
 
     def receive(self, message):
-        """Take in a message of another agent."""
+        """Process a message from another agent."""
         match message:
             case models.Directive():
-                self._take_directive(message)
+                self._receive_directive(message)
             case models.RankReport():
                 if self._leader is not None:
                     self._apply_to_leader(events.RankReported(report=message))
-                    self._wake.set()
+                    self._cycle_due.set()
             case group.ChoicesReport():
-                self._take_choices(message.choices)
+                self._receive_choices(message.choices)
             case group.MapContent():
-                self._take_map(message)
+                self._receive_map(message)
             case group.MapRequest():
-                self._delivery.answer(message)
+                self._delivery.answer_request(message)
             case group.HeldReport():
-                self._note_held(message)
+                self._receive_rank_map(message)
 
-    def _take_directive(self, directive):
+    def _receive_directive(self, directive):
         state = self._agent.state
         if state is None or directive.group != state.group:
             return
         if directive.term < self._agent.term:
             return
-        self._directed_s = self._clock()
+        self._last_directive_s = self._clock()
         if self._leader is not None and directive.term > self._leader.term:
             self._step_down(directive.term)
-        before = self._phase()
+        previous_phase = self._phase()
         if directive.phase is _Phase.PREPARE:
-            directive = self._complete(directive, state)
-        # Orders follow with the next observation, which comes at once.
+            directive = self._attach_stored_map(directive, state)
+        # The next observation leads to the orders for this directive.
         self._agent.follow(directive)
-        if directive.phase is not before or directive.phase is not _Phase.IDLE:
-            self._wake.set()
+        if (
+            directive.phase is not previous_phase
+            or directive.phase is not _Phase.IDLE
+        ):
+            self._cycle_due.set()
+
+    def _attach_stored_map(self, directive, state):
+        """Return a directive with its map, if that is stored here.
 
-    def _complete(self, directive, state):
-        """Return a directive with its map, if that is here."""
+        Otherwise request the map if it is overdue.
+        """
         expert_map = self._balancer.contents.find_map(directive.version)
         if expert_map is None:
-            self._delivery.note_missing(directive, state)
+            self._delivery.request_overdue_map(directive, state)
         return dataclasses.replace(directive, expert_map=expert_map)
 
-    def _take_map(self, message):
+    def _receive_map(self, message):
         state = self._agent.state
         if state is None or message.group != state.group:
             return
         expert_map = message.expert_map
         if self._balancer.contents.find_map(expert_map.version) is not None:
             return
-        self.remember(expert_map)
-        self._delivery.pass_on(message, state)
+        self.store_map(expert_map)
+        self._delivery.forward_map(message, state)
         self._agent.learn_map(expert_map)
-        self._wake.set()
+        self._cycle_due.set()
 
-    def _take_choices(self, choices):
+    def _receive_choices(self, choices):
         if self._leader is not None:
-            self._balancer.note_choices(choices)
+            self._balancer.add_choices(choices)
         else:
             self._choices.add(choices)
 
@@ -374,12 +398,12 @@
 
     async def _send_choices(self):
         while True:
-            await anyio.sleep(self._find_choices_pause_s())
+            await anyio.sleep(self._choose_counts_interval_s())
             state, directive = self._agent.state, self._agent.directive
             if state is None or directive is None:
                 continue
             if directive.wants_experts:
-                await self._send_held(state, directive)
+                await self._send_rank_map(state, directive)
             counts = await self._engine.read_counts()
             if counts is not None:
                 self._choices.add_engine_counts(counts)
@@ -387,42 +411,45 @@
             if choices is None:
                 continue
             if self._leader is not None:
-                self._balancer.note_choices(choices)
+                self._balancer.add_choices(choices)
                 continue
             report = group.ChoicesReport(
                 group=state.group, rank=state.rank, choices=tuple(choices)
             )
             await self._exchange.send(
-                report, [self._find_collector(state, directive)]
+                report, [self._find_choices_host(state, directive)]
             )
 
-    def _find_choices_pause_s(self):
+    def _choose_counts_interval_s(self):
         if self._is_group_large():
-            return conf.BLOCK_COUNTS_S
-        return conf.COUNTS_S
+            return conf.COUNTS_INTERVAL_LARGE_S
+        return conf.COUNTS_INTERVAL_S
 
-    def _find_collector(self, state, directive):
-        """Return the host that adds up the choices of the own block."""
+    def _find_choices_host(self, state, directive):
+        """Return the host that this rank reports its choices to.
+
+        It is the first rank of the block or, for that rank, the leader.
+        """
         head = blocks.find_head(state.rank, state.ranks)
-        known = self._membership.known
-        if head == state.rank or known is None:
+        members = self._membership.members
+        if head == state.rank or members is None:
             return directive.leader_host
-        return known.hosts_by_rank.get(head, directive.leader_host)
+        return members.hosts_by_rank.get(head, directive.leader_host)
 
-    async def _send_held(self, state, directive):
-        """Tell the leader the experts that this rank holds."""
-        held = await self._engine.read_experts()
-        if held is None:
+    async def _send_rank_map(self, state, directive):
+        """Send the experts that this rank holds to the leader."""
+        rank_map = await self._engine.read_experts()
+        if rank_map is None:
             return
         report = group.HeldReport(
-            group=state.group, rank=state.rank, held=held
+            group=state.group, rank=state.rank, held=rank_map
         )
         if self._leader is not None:
-            self._note_held(report)
+            self._receive_rank_map(report)
         else:
             await self._exchange.send(report, [directive.leader_host])
 
-    def _note_held(self, report):
+    def _receive_rank_map(self, report):
         state, contents = self._agent.state, self._balancer.contents
         version = report.held.version
         if state is None or contents.has_map(version):
@@ -431,13 +458,15 @@
         if contents.has_map(version):
             logs.write_event('map_collected', version=version)
 
-    async def _report_pace(self):
-        """Tell entries of a slow rank while it is slow."""
+    async def _report_slowdown(self):
+        """Report this rank to entries while it is slow."""
         was_slow = False
         while True:
-            await anyio.sleep(conf.PACE_REPORT_S)
+            await anyio.sleep(conf.SLOWDOWN_REPORT_INTERVAL_S)
             state = self._agent.state
-            is_slow = state is not None and state.pace >= conf.SLOW_PACE
+            is_slow = (
+                state is not None and state.pace >= conf.MIN_REPORTED_SLOWDOWN
+            )
             if is_slow != was_slow:
                 was_slow = is_slow
                 logs.write_event('pace_changed', pace=state.pace)
@@ -452,20 +481,23 @@
                 port=self._settings.pace_port,
             )
 
-    async def _learn_members(self):
+    async def _refresh_members(self):
         while True:
             state = self._agent.state
-            if state is not None and self._lacks_members(state):
+            if state is not None and self._needs_refresh(state):
                 await self._membership.refresh(state.group)
-                known = self._membership.known
-                if known is not None:
-                    self._balancer.set_shape(known.shape)
-            is_known = self._membership.known is not None
-            await anyio.sleep(conf.MEMBERS_S if is_known else conf.REPEAT_S)
-
-    def _lacks_members(self, state):
-        known = self._membership.known
-        if known is None or len(known.hosts_by_rank) < state.ranks:
+                members = self._membership.members
+                if members is not None:
+                    self._balancer.set_shape(members.shape)
+            is_known = self._membership.members is not None
+            await anyio.sleep(
+                conf.MEMBERS_INTERVAL_S if is_known else conf.REPEAT_INTERVAL_S
+            )
+
+    def _needs_refresh(self, state):
+        """Return whether members are missing, or send no reports."""
+        members = self._membership.members
+        if members is None or len(members.hosts_by_rank) < state.ranks:
             return True
         return self._leader is not None and not self._leader.is_complete(
             now_s=self._clock()
@@ -473,30 +505,33 @@
 
     async def _plan(self):
         while True:
-            await anyio.sleep(conf.PLAN_S)
-            current = self._leader
-            if current is None or current.phase is not _Phase.IDLE:
+            await anyio.sleep(conf.PLAN_INTERVAL_S)
+            planning_leader = self._leader
+            if (
+                planning_leader is None
+                or planning_leader.phase is not _Phase.IDLE
+            ):
                 continue
-            if self._stopped.is_set():
+            if self._stopping.is_set():
                 continue
-            if not current.is_complete(now_s=self._clock()):
+            if not planning_leader.is_complete(now_s=self._clock()):
                 continue
             state = self._agent.state
-            states_by_rank = current.states_by_rank
+            states_by_rank = planning_leader.states_by_rank
             plan = await self._balancer.plan(
                 version=state.active,
-                paces=[
+                slowdowns=[
                     states_by_rank[rank].pace for rank in range(state.ranks)
                 ],
             )
-            if plan is None or self._leader is not current:
+            if plan is None or self._leader is not planning_leader:
                 continue
             self._apply_to_leader(events.MapProposed(experts=plan.experts))
-            self._wake.set()
+            self._cycle_due.set()
 
 
-def _find_essence(report):
-    """Return what a leader waits for in a report."""
+def _select_change_fields(report):
+    """Return the fields whose changes are reported to the leader at once."""
     state = report.state
     return (
         report.term,
@@ -510,28 +545,28 @@
 
 
 @functools.singledispatch
-async def _act_on(decision, daemon):
+async def _execute_decision(decision, daemon):
     raise TypeError(f'unknown decision {type(decision).__name__}')
 
 
-@_act_on.register
+@_execute_decision.register
 async def _(decision: decisions.Publish, daemon):
     if decision.directive.expert_map is not None:
-        daemon.remember(decision.directive.expert_map)
+        daemon.store_map(decision.directive.expert_map)
     await daemon.publish(decision.directive)
 
 
-@_act_on.register
+@_execute_decision.register
 async def _(decision: decisions.OrderRemotely, daemon):
-    await daemon.order_remotely(decision.host, decision.order)
+    await daemon.send_remote_order(decision.host, decision.order)
 
 
-@_act_on.register
+@_execute_decision.register
 async def _(decision: decisions.ObserveRemotely, daemon):
-    await daemon.observe_remotely(decision.host)
+    await daemon.observe_remote_rank(decision.host)
 
 
-@_act_on.register
+@_execute_decision.register
 async def _(decision: decisions.ChangeEnded, daemon):
     logs.write_event(
         'map_change_ended',
--- a/packages/savoryyoke-agent/savoryyoke_agent/delivery.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/delivery.py
@@ -1,4 +1,4 @@
-"""Bring the maps that directives name to all ranks of a group."""
+"""Deliver the maps that directives name to all ranks of a group."""
 
 import collections
 import dataclasses
@@ -15,19 +15,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Sending:
+class _QueuedMessage:
     message: object
     hosts: list[str]
     pause_s: float = 0.0
 
 
 class MapDelivery:
-    """Own the way of maps from the leader to the ranks.
+    """Queue and send expert maps, and the requests for them.
 
-    The leader sends a map to the first rank of each block, which passes it on
-    to the others. A rank that a directive reaches well before its map asks
-    the leader for it; answers are paced, so that they leave room on the link
-    for everything else.
+    The leader sends a map to the first rank of each block, which forwards it
+    to the others. A rank that receives a directive but not its map requests
+    the map from the leader. Answers to requests are paced, so that they leave
+    room on the link for other traffic.
     """
 
     def __init__(self, *, own_host, exchange, membership, contents, clock):
@@ -36,9 +36,9 @@
         self._membership = membership
         self._contents = contents
         self._clock = clock
-        self._announced = 0
-        self._missing = 0
-        self._missing_s = 0.0
+        self._enqueued_version = 0
+        self._missing_version = 0
+        self._missing_since_s = 0.0
         self._queue = collections.deque()
         self._wake = anyio.Event()
 
@@ -46,80 +46,95 @@
         """Send what is queued until cancelled."""
         while True:
             while self._queue:
-                sending = self._queue.popleft()
-                await self._exchange.send_spaced(
-                    sending.message, sending.hosts
-                )
-                await anyio.sleep(sending.pause_s)
+                queued = self._queue.popleft()
+                await self._exchange.send_paced(queued.message, queued.hosts)
+                await anyio.sleep(queued.pause_s)
             await self._wake.wait()
             self._wake = anyio.Event()
 
-    def announce(self, directive, state):
-        """Queue the map of a directive for the other ranks, once."""
-        if directive.version == self._announced:
+    def send_map(self, directive, state):
+        """Queue the map of a directive, once, for the leader's group.
+
+        ``state`` is the ``EngineState`` of the own rank.
+        """
+        if directive.version == self._enqueued_version:
             return
-        self._announced = directive.version
+        self._enqueued_version = directive.version
         message = group.MapContent(
             group=directive.group, expert_map=directive.expert_map
         )
         ranks = [*blocks.find_heads(state.ranks)]
         if state.rank in ranks:
             ranks.extend(blocks.find_others(state.rank, state.ranks))
-        self._enqueue(_Sending(message=message, hosts=self._find_hosts(ranks)))
+        self._enqueue(
+            _QueuedMessage(message=message, hosts=self._find_hosts(ranks))
+        )
 
-    def pass_on(self, message, state):
-        """Queue a map that has arrived for the rest of the own block."""
+    def forward_map(self, message, state):
+        """Queue a received map for the own block, as its first rank."""
         if state.rank != blocks.find_head(state.rank, state.ranks):
             return
-        others = blocks.find_others(state.rank, state.ranks)
+        other_ranks = blocks.find_others(state.rank, state.ranks)
         self._enqueue(
-            _Sending(message=message, hosts=self._find_hosts(others))
+            _QueuedMessage(
+                message=message, hosts=self._find_hosts(other_ranks)
+            )
         )
 
-    def note_missing(self, directive, state):
-        """Ask the leader for the map of a directive if it is overdue."""
+    def request_overdue_map(self, directive, state):
+        """Request the map of a directive from the leader if it is overdue."""
         now_s = self._clock()
-        if directive.version != self._missing:
-            self._missing, self._missing_s = directive.version, now_s
-        if now_s - self._missing_s < _find_patience_s(state.ranks):
+        if directive.version != self._missing_version:
+            self._missing_version, self._missing_since_s = (
+                directive.version,
+                now_s,
+            )
+        if now_s - self._missing_since_s < _choose_request_delay_s(
+            state.ranks
+        ):
             return
         logs.write_event(
             'map_requested',
             version=directive.version,
-            waited_s=now_s - self._missing_s,
+            waited_s=now_s - self._missing_since_s,
         )
         request = group.MapRequest(
             group=directive.group,
             version=directive.version,
             host=self._own_host,
         )
-        self._enqueue(_Sending(message=request, hosts=[directive.leader_host]))
+        self._enqueue(
+            _QueuedMessage(message=request, hosts=[directive.leader_host])
+        )
 
-    def answer(self, request):
-        """Queue a map for a rank that asks for it."""
+    def answer_request(self, request):
+        """Queue the map for the rank that requests it, if it is available."""
         expert_map = self._contents.find_map(request.version)
         if expert_map is None:
             return
         message = group.MapContent(group=request.group, expert_map=expert_map)
-        sending = _Sending(
-            message=message, hosts=[request.host], pause_s=conf.MAP_PAUSE_S
+        answer = _QueuedMessage(
+            message=message,
+            hosts=[request.host],
+            pause_s=conf.MAP_ANSWER_INTERVAL_S,
         )
-        if sending not in self._queue:
-            self._enqueue(sending)
+        if answer not in self._queue:
+            self._enqueue(answer)
 
-    def _enqueue(self, sending):
-        if len(self._queue) < conf.DELIVERY_LIMIT:
-            self._queue.append(sending)
+    def _enqueue(self, queued):
+        """Append a message, or drop it if the queue is full."""
+        if len(self._queue) < conf.DELIVERY_QUEUE_MAX_MESSAGES:
+            self._queue.append(queued)
             self._wake.set()
 
     def _find_hosts(self, ranks):
-        known = self._membership.known
-        hosts_by_rank = known.hosts_by_rank if known else {}
+        members = self._membership.members
+        hosts_by_rank = members.hosts_by_rank if members else {}
         hosts = [hosts_by_rank.get(rank) for rank in ranks]
         return [host for host in hosts if host not in (None, self._own_host)]
 
 
-def _find_patience_s(ranks):
+def _choose_request_delay_s(ranks):
     if ranks <= rollout_conf.SMALL_GROUP_RANKS:
-        return conf.MAP_PATIENCE_S
-    return conf.BLOCK_MAP_PATIENCE_S
+        return conf.MAP_REQUEST_DELAY_S
+    return conf.MAP_REQUEST_DELAY_LARGE_S
--- a/packages/savoryyoke-agent/savoryyoke_agent/exchange.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/exchange.py
@@ -14,55 +14,56 @@
 
 
 class Exchange:
-    """Own the socket to the other agents.
+    """Send and receive messages through a UDP socket.
 
-    ``receive(message)`` is called for each message. One that can't be sent
-    or taken in is logged and dropped: agents repeat what matters.
-    ``link_bytes_per_s`` is what the VM's link carries.
+    ``receive(message)`` is called for each received message. A message that
+    can't be sent or processed is logged and dropped; agents repeat messages
+    that have to arrive. ``link_bytes_per_s`` is the capacity of the VM's
+    network link. ``clock`` returns seconds.
     """
 
     def __init__(self, *, host, port, link_bytes_per_s, receive, clock):
         self._host = host
         self._port = port
-        self._spaced_bytes_per_s = conf.SPACED_LINK_SHARE * link_bytes_per_s
+        self._paced_bytes_per_s = conf.PACED_LINK_SHARE * link_bytes_per_s
         self._receive = receive
         self._clock = clock
         self._assembler = assembly.Assembler()
         self._message_ids = itertools.count(int(clock() * 1000))
         self._socket = None
-        self._sending = anyio.Lock()
+        self._send_lock = anyio.Lock()
 
     async def run(self):
-        """Receive until cancelled."""
+        """Receive datagrams until cancelled."""
         async with await anyio.create_udp_socket(
             family=socket.AF_INET, local_host=self._host, local_port=self._port
         ) as self._socket:
             async for packed, (host, _) in self._socket:
-                self._take_in(packed, host)
+                self._receive_datagram(packed, host)
 
     async def send(self, message, hosts, *, port=None):
-        """Send a message to hosts, at the agents' port if not another."""
+        """Send a message to hosts, at the agents' port by default."""
         if self._socket is None:
             return
         datagrams = self._encode(message)
-        # One task at a time may use the socket.
-        async with self._sending:
+        # The socket raises an error if two tasks send at the same time.
+        async with self._send_lock:
             for host in hosts:
                 for packed in datagrams:
-                    await self._send_to(packed, host, port or self._port)
+                    await self._send_datagram(packed, host, port or self._port)
 
-    async def send_spaced(self, message, hosts):
-        """Send a large message to hosts, no faster than narrow links bear."""
+    async def send_paced(self, message, hosts):
+        """Send a large message to hosts at the pace of the VM's link."""
         if self._socket is None:
             return
         datagrams = self._encode(message)
         sent_bytes = 0
         for host, packed in itertools.product(hosts, datagrams):
-            async with self._sending:
-                await self._send_to(packed, host, self._port)
+            async with self._send_lock:
+                await self._send_datagram(packed, host, self._port)
             sent_bytes += len(packed)
-            if sent_bytes > conf.BURST_BYTES:
-                await anyio.sleep(len(packed) / self._spaced_bytes_per_s)
+            if sent_bytes > conf.UNPACED_BYTES:
+                await anyio.sleep(len(packed) / self._paced_bytes_per_s)
 
     def _encode(self, message):
         """Return the datagrams of a message; none if it is too large."""
@@ -79,7 +80,7 @@
             )
             return ()
 
-    async def _send_to(self, packed, host, port):
+    async def _send_datagram(self, packed, host, port):
         try:
             await self._socket.sendto(packed, host, port)
         except OSError as error:
@@ -90,7 +91,7 @@
                 reason=str(error),
             )
 
-    def _take_in(self, packed, host):
+    def _receive_datagram(self, packed, host):
         try:
             message = self._decode(packed, host)
         except wire_exceptions.WireError as error:
@@ -106,7 +107,7 @@
         try:
             self._receive(message)
         except Exception as error:
-            # One message must not end the process.
+            # A single message must not end the process.
             logs.write_fault(
                 'message_failed',
                 error,
@@ -119,5 +120,7 @@
         message = group.decode(packed)
         if not isinstance(message, group.MessagePart):
             return message
-        whole = self._assembler.add(message, sender=host, now_s=self._clock())
-        return None if whole is None else group.decode(whole)
+        assembled = self._assembler.add(
+            message, sender=host, now_s=self._clock()
+        )
+        return None if assembled is None else group.decode(assembled)
--- a/packages/savoryyoke-agent/savoryyoke_agent/membership.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/membership.py
@@ -1,4 +1,4 @@
-"""Learn the members of the own group from the entries."""
+"""Find the members of the own group in the values that entries publish."""
 
 import itertools
 
@@ -11,37 +11,39 @@
 
 
 class GroupMembership:
-    """Own what is known of the group's ranks.
+    """Hold the members of the own group and read them again on demand.
 
-    ``read_all()`` reads published values from the platform; it is asked
-    only when no entry answers.
+    ``member_finder`` implements ``ports.MemberFinder``. ``members`` is the
+    latest ``ports.GroupMembers``, or None. ``read_published_values()`` returns
+    items by key from the platform, or None; it is called only when no entry
+    answers.
     """
 
-    def __init__(self, *, settings, members, read_all):
+    def __init__(self, *, settings, member_finder, read_published_values):
         self._settings = settings
-        self._members = members
-        self._read_all = read_all
+        self._member_finder = member_finder
+        self._read_published_values = read_published_values
         self._seeds = itertools.cycle(settings.seed_hosts)
-        self.known = None
+        self.members = None
 
-    def hosts(self):
-        """Return the hosts of the other ranks."""
-        if self.known is None:
+    def other_hosts(self):
+        """Return the hosts of all members but the own one."""
+        if self.members is None:
             return []
         return [
             host
-            for host in self.known.hosts_by_rank.values()
+            for host in self.members.hosts_by_rank.values()
             if host != self._settings.own_host
         ]
 
     async def refresh(self, group):
-        """Look the members of ``group`` up."""
-        items_by_key = await self._read()
+        """Read the members of the group with this name."""
+        items_by_key = await self._read_items()
         if items_by_key is None:
             return
-        found = self._members.find(items_by_key, group)
-        if found is not None and found != self.known:
-            self.known = found
+        found = self._member_finder.find(items_by_key, group)
+        if found is not None and found != self.members:
+            self.members = found
             logs.write_event(
                 'members_known',
                 group=group,
@@ -49,7 +51,8 @@
                 hosts=','.join(found.hosts_by_rank.values()),
             )
 
-    async def _read(self):
+    async def _read_items(self):
+        """Return items by key from an entry or else the platform, or None."""
         for _ in self._settings.seed_hosts:
             host = next(self._seeds)
             try:
@@ -63,7 +66,7 @@
                     host=host,
                     reason=str(error),
                 )
-                await anyio.sleep(conf.REPEAT_S)
+                await anyio.sleep(conf.REPEAT_INTERVAL_S)
                 continue
             return {item.key: item for item in snapshot.items}
-        return await self._read_all()
+        return await self._read_published_values()
--- a/packages/savoryyoke-agent/savoryyoke_agent/ports.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/ports.py
@@ -1,4 +1,4 @@
-"""What an adapter of a platform provides."""
+"""Define what the adapter of a platform has to provide."""
 
 import dataclasses
 import typing
@@ -6,12 +6,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AgentSettings:
-    """Hold what one agent is told at its start.
+    """Hold the settings of one agent.
 
-    ``seed_hosts`` are hosts of entries; ``peer_port`` is the same on all,
-    and entries hear of slow targets at ``pace_port``. ``own_address`` is
-    that of the target on this VM, and ``link_bytes_per_s`` what the VM's link
-    carries.
+    ``seed_hosts`` are hosts of entries. ``peer_port`` is the port for
+    messages between agents and for reading published values from entries,
+    the same on all hosts; ``pace_port`` is that for reporting slow targets to
+    entries. ``own_address`` is the address of the target on this VM.
+    ``link_bytes_per_s`` is the capacity of the VM's network link.
     """
 
     vm_id: str
@@ -26,16 +27,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GroupShape:
-    """Say how the experts of a group are laid out.
+    """Hold the number of a group's experts and of the slots for them.
 
-    A rank holds ``places`` experts of a set at most, and takes ``spare`` new
-    ones at once.
+    The group has ``sets`` sets of ``experts`` experts each. A rank can hold
+    ``slots`` experts of a set, and copy ``max_copies_per_rank`` of them in a
+    map change.
     """
 
     sets: int
     experts: int
-    places: int
-    spare: int
+    slots: int
+    max_copies_per_rank: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -47,23 +49,26 @@
 
 
 class Engine(typing.Protocol):
-    """Talk to engine ranks: one's own, or that of ``host``."""
+    """Call the engine of the own rank or, with ``host``, of another one."""
 
     async def observe(self, host=None):
-        """Return the ``EngineState``, or None if it can't be had."""
+        """Return the ``EngineState``, or None if the call fails."""
 
     async def read_counts(self):
-        """Return the own rank's counts, set by set, or None."""
+        """Return the own engine's cumulative choice counts, or None.
+
+        They are a flat sequence: a count per expert, set by set.
+        """
 
     async def read_experts(self):
-        """Return the own rank's ``RankMap`` in use, or None."""
+        """Return the ``RankMap`` that the own engine uses, or None."""
 
-    async def give(self, order, host=None):
-        """Give an order and return its ``OrderResult``."""
+    async def send_order(self, order, host=None):
+        """Send an order and return its ``OrderResult``."""
 
 
-class Members(typing.Protocol):
+class MemberFinder(typing.Protocol):
     """Find the members of groups in published values."""
 
     def find(self, items_by_key, group):
-        """Return the ``GroupMembers`` of ``group``, or None."""
+        """Return the ``GroupMembers`` of the group with this name, or None."""
--- a/packages/savoryyoke-agent/tests/support.py
+++ b/packages/savoryyoke-agent/tests/support.py
@@ -1,4 +1,4 @@
-"""Stand in for a group of engine ranks and for published values."""
+"""Simulate a group of engines and an entry with published values."""
 
 import anyio
 
@@ -14,15 +14,17 @@
 from savoryyoke_fakes.deployment import sockets
 
 PASS_S = 0.04
-PATIENCE_S = 20.0
-SHAPE = ports.GroupShape(sets=1, experts=6, places=4, spare=2)
+TIMEOUT_S = 20.0
+SHAPE = ports.GroupShape(sets=1, experts=6, slots=4, max_copies_per_rank=2)
 RANKS = 3
 
 
 class Group:
-    """Run passes on all ranks at once; note those on different maps.
+    """Simulate the engines of a group, which run passes together.
 
+    ``mixed_passes`` lists the passes in which ranks used different maps.
     ``on_hold(rank)`` is called when a rank is ordered to hold the group.
+    ``most_chosen_expert`` is chosen 18 times as often as each other expert.
     """
 
     def __init__(self, *, ranks):
@@ -33,16 +35,16 @@
         self.prepared = [None] * ranks
         self.armed = [None] * ranks
         self.held = [None] * ranks
-        self.mixed = []
-        self.hot = 0
-        first_map = planner.make_initial_map(
+        self.mixed_passes = []
+        self.most_chosen_expert = 0
+        initial_map = planner.make_initial_map(
             sets=SHAPE.sets, ranks=ranks, experts=SHAPE.experts
         )
-        self._experts_by_version = {0: first_map}
+        self._experts_by_version = {0: initial_map}
         self._counts = [[0] * SHAPE.experts for _ in range(ranks)]
 
     async def run(self):
-        """Begin passes until cancelled."""
+        """Run passes until cancelled; none while one is held."""
         while True:
             await anyio.sleep(PASS_S)
             if self.step + 1 in self.held:
@@ -52,7 +54,7 @@
                 self._switch(rank)
                 self._count(rank)
             if len(set(self.active)) > 1:
-                self.mixed.append(self.step)
+                self.mixed_passes.append(self.step)
 
     def observe(self, rank):
         """Return the state of a rank."""
@@ -74,7 +76,7 @@
         return tuple(self._counts[rank])
 
     def read_experts(self, rank):
-        """Return what a rank holds under the map in use."""
+        """Return the experts that a rank holds under the map in use."""
         version = self.active[rank]
         return models.RankMap(
             version=version,
@@ -83,8 +85,8 @@
             ),
         )
 
-    def give(self, rank, order):
-        """Carry an order out."""
+    def execute(self, rank, order):
+        """Execute an order and return its result."""
         match order:
             case decisions.Prepare(expert_map=expert_map):
                 self._experts_by_version[expert_map.version] = (
@@ -111,11 +113,14 @@
     def _count(self, rank):
         counts = self._counts[rank]
         for expert in range(SHAPE.experts):
-            counts[expert] += 900 if expert == self.hot else 50
+            counts[expert] += 900 if expert == self.most_chosen_expert else 50
 
 
 class Engine:
-    """Implement ``ports.Engine`` on a ``Group``; hosts end in the rank."""
+    """Implement ``ports.Engine`` on a ``Group``.
+
+    The last number of a host is its rank plus 2.
+    """
 
     def __init__(self, *, group, rank):
         self._group = group
@@ -123,7 +128,7 @@
 
     async def observe(self, host=None):
         """Return the state of a rank."""
-        return self._group.observe(self._find(host))
+        return self._group.observe(self._find_rank(host))
 
     async def read_counts(self):
         """Return the own counts."""
@@ -133,29 +138,31 @@
         """Return the experts that the own rank holds."""
         return self._group.read_experts(self._rank)
 
-    async def give(self, order, host=None):
-        """Give an order."""
-        return self._group.give(self._find(host), order)
+    async def send_order(self, order, host=None):
+        """Execute an order and return its result."""
+        return self._group.execute(self._find_rank(host), order)
 
-    def _find(self, host):
+    def _find_rank(self, host):
         return self._rank if host is None else int(host[-1]) - 2
 
 
-class Members:
-    """Implement ``ports.Members`` for the one group."""
+class MemberFinder:
+    """Implement ``ports.MemberFinder`` for a single group."""
 
     def __init__(self, *, ranks):
         self._ranks = ranks
 
     def find(self, items_by_key, group):
-        """Return the members."""
+        """Return the members of the group, whatever its name."""
         return ports.GroupMembers(
             shape=SHAPE,
-            hosts_by_rank={rank: host_of(rank) for rank in range(self._ranks)},
+            hosts_by_rank={
+                rank: make_host(rank) for rank in range(self._ranks)
+            },
         )
 
 
-def host_of(rank):
+def make_host(rank):
     """Return the loopback host of a rank."""
     return f'127.0.1.{rank + 2}'
 
@@ -167,7 +174,7 @@
 
 
 async def serve_copies(port):
-    """Stand in for an entry that hands out its view."""
+    """Serve published values without items, as an entry does."""
     listener = await anyio.create_tcp_listener(
         local_host='127.0.1.1', local_port=port
     )
@@ -183,21 +190,21 @@
 def build_daemon(*, group, rank, port):
     """Return the daemon of a rank."""
 
-    async def read_all():
+    async def read_published_values():
         return None
 
     return daemon.RankDaemon(
         settings=ports.AgentSettings(
             vm_id=f'side-{rank}',
             data_centre='dc',
-            own_host=host_of(rank),
+            own_host=make_host(rank),
             peer_port=port,
             pace_port=port,
-            own_address=f'{host_of(rank)}:80',
+            own_address=f'{make_host(rank)}:80',
             seed_hosts=('127.0.1.1',),
             link_bytes_per_s=500_000,
         ),
         engine=Engine(group=group, rank=rank),
-        members=Members(ranks=group.ranks),
-        read_all=read_all,
+        member_finder=MemberFinder(ranks=group.ranks),
+        read_published_values=read_published_values,
     )
--- a/packages/savoryyoke-agent/tests/test_daemon.py
+++ b/packages/savoryyoke-agent/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Test agents of one group with real datagrams."""
+"""Test the agents of a group with real datagrams."""
 
 import unittest
 from unittest import mock
@@ -13,8 +13,8 @@
 
 
 async def wait_until(condition):
-    """Return when ``condition()`` holds; fail after a generous time."""
-    with anyio.fail_after(support.PATIENCE_S):
+    """Wait until ``condition()`` is true; raise ``TimeoutError`` otherwise."""
+    with anyio.fail_after(support.TIMEOUT_S):
         while not condition():
             await anyio.sleep(0.02)
 
@@ -49,16 +49,16 @@
                     start(rank)
                 await scenario(group, scopes, start)
                 tasks.cancel_scope.cancel()
-            self.assertEqual([], group.mixed)
+            self.assertEqual([], group.mixed_passes)
 
         anyio.run(main)
 
     def test_maps_follow_demand(self):
         async def scenario(group, scopes, start):
             await wait_until(lambda: all(group.active))
-            first = group.active[0]
-            group.hot = 3
-            await wait_until(lambda: min(group.active) > first)
+            first_version = group.active[0]
+            group.most_chosen_expert = 3
+            await wait_until(lambda: min(group.active) > first_version)
 
         self.run_group(scenario)
 
@@ -69,9 +69,9 @@
 
         async def scenario(group, scopes, start):
             await wait_until(lambda: all(group.active))
-            first = group.active[0]
-            group.hot = 3
-            await wait_until(lambda: min(group.active) > first)
+            first_version = group.active[0]
+            group.most_chosen_expert = 3
+            await wait_until(lambda: min(group.active) > first_version)
 
         self.run_group(scenario, ranks=ranks)
 
@@ -81,11 +81,11 @@
             for rank in range(support.RANKS):
                 scopes[rank].cancel()
             await anyio.sleep(0.1)
-            first = group.active[0]
+            first_version = group.active[0]
             for rank in range(support.RANKS):
                 start(rank)
-            group.hot = 3
-            await wait_until(lambda: min(group.active) > first)
+            group.most_chosen_expert = 3
+            await wait_until(lambda: min(group.active) > first_version)
 
         self.run_group(scenario)
 
@@ -108,12 +108,12 @@
     def test_another_leader_takes_over(self):
         async def scenario(group, scopes, start):
             await wait_until(lambda: all(group.active))
-            first = group.active[0]
-            # The highest rank leads: it stood for election last.
+            first_version = group.active[0]
+            # The highest rank leads, since it was the last to become a leader.
             scopes[support.RANKS - 1].cancel()
-            group.hot = 3
+            group.most_chosen_expert = 3
             await anyio.sleep(1.5)
-            self.assertEqual([first] * support.RANKS, group.active)
+            self.assertEqual([first_version] * support.RANKS, group.active)
             self.assertFalse(any(group.held))
 
         self.run_group(scenario)
--- a/packages/savoryyoke-agent/tests/test_delivery.py
+++ b/packages/savoryyoke-agent/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""Test how maps reach the ranks of a large group."""
+"""Test the delivery of maps to the ranks of a large group."""
 
 import types
 import unittest
@@ -21,17 +21,17 @@
 
 
 class Exchange:
-    """Note what is sent in place of sending it."""
+    """Record messages instead of sending them."""
 
     def __init__(self):
         self.sent = []
 
-    async def send_spaced(self, message, hosts):
-        """Note a message and its hosts."""
+    async def send_paced(self, message, hosts):
+        """Record a message and its hosts."""
         self.sent.append((message, list(hosts)))
 
 
-def host_of(rank):
+def make_host(rank):
     """Return the host of a rank."""
     return f'10.0.0.{rank}'
 
@@ -43,22 +43,22 @@
         self.contents = contents.MapContents()
 
     def build(self, rank):
-        """Return the delivery of a rank."""
-        hosts_by_rank = {rank: host_of(rank) for rank in range(RANKS)}
+        """Return the ``MapDelivery`` of a rank."""
+        hosts_by_rank = {rank: make_host(rank) for rank in range(RANKS)}
         return delivery.MapDelivery(
-            own_host=host_of(rank),
+            own_host=make_host(rank),
             exchange=self.exchange,
             membership=types.SimpleNamespace(
-                known=types.SimpleNamespace(hosts_by_rank=hosts_by_rank)
+                members=types.SimpleNamespace(hosts_by_rank=hosts_by_rank)
             ),
             contents=self.contents,
             clock=lambda: self.now_s,
         )
 
-    async def run_for(self, delivered, seconds):
-        """Let a delivery send what is queued for a time."""
+    async def run_for(self, map_delivery, seconds):
+        """Run a ``MapDelivery`` for a number of seconds."""
         with anyio.move_on_after(seconds):
-            await delivered.run()
+            await map_delivery.run()
 
     def build_state(self, rank):
         """Return the state of a rank's engine."""
@@ -82,69 +82,75 @@
             epoch=1,
             term=models.Term(number=1, rank=0),
             sequence=1,
-            leader_host=host_of(10),
+            leader_host=make_host(10),
             phase=models.Phase.PREPARE,
             version=VERSION,
             expert_map=EXPERT_MAP,
         )
 
-    async def test_leader_sends_a_map_to_the_heads_once(self):
-        leading = self.build(10)
+    async def test_leader_sends_a_map_once_to_the_first_rank_of_each_block(
+        self,
+    ):
+        leader_delivery = self.build(10)
         for _ in range(2):
-            leading.announce(self.build_directive(), self.build_state(10))
-        await self.run_for(leading, 0.01)
+            leader_delivery.send_map(
+                self.build_directive(), self.build_state(10)
+            )
+        await self.run_for(leader_delivery, 0.01)
         ((message, hosts),) = self.exchange.sent
         self.assertEqual(CONTENT, message)
-        self.assertEqual([host_of(rank) for rank in range(0, 63, 7)], hosts)
+        self.assertEqual([make_host(rank) for rank in range(0, 63, 7)], hosts)
 
-    async def test_head_passes_a_map_on_to_its_block(self):
-        head = self.build(7)
-        head.pass_on(CONTENT, self.build_state(7))
-        await self.run_for(head, 0.01)
+    async def test_first_rank_of_a_block_forwards_a_map(self):
+        first_rank_delivery = self.build(7)
+        first_rank_delivery.forward_map(CONTENT, self.build_state(7))
+        await self.run_for(first_rank_delivery, 0.01)
         ((_, hosts),) = self.exchange.sent
-        self.assertEqual([host_of(rank) for rank in range(8, 14)], hosts)
+        self.assertEqual([make_host(rank) for rank in range(8, 14)], hosts)
 
-    async def test_others_pass_nothing_on(self):
-        other = self.build(8)
-        other.pass_on(CONTENT, self.build_state(8))
-        await self.run_for(other, 0.01)
+    async def test_other_ranks_forward_nothing(self):
+        member_delivery = self.build(8)
+        member_delivery.forward_map(CONTENT, self.build_state(8))
+        await self.run_for(member_delivery, 0.01)
         self.assertEqual([], self.exchange.sent)
 
-    async def test_rank_asks_for_a_map_that_is_overdue(self):
-        other = self.build(8)
+    async def test_rank_requests_a_map_that_is_overdue(self):
+        member_delivery = self.build(8)
         directive, state = self.build_directive(), self.build_state(8)
-        for self.now_s in (0.0, conf.BLOCK_MAP_PATIENCE_S / 2):
-            other.note_missing(directive, state)
-        await self.run_for(other, 0.01)
+        for self.now_s in (0.0, conf.MAP_REQUEST_DELAY_LARGE_S / 2):
+            member_delivery.request_overdue_map(directive, state)
+        await self.run_for(member_delivery, 0.01)
         self.assertEqual([], self.exchange.sent)
-        self.now_s = conf.BLOCK_MAP_PATIENCE_S
-        other.note_missing(directive, state)
-        await self.run_for(other, 0.01)
-        request = group.MapRequest(group='g', version=VERSION, host=host_of(8))
-        self.assertEqual([(request, [host_of(10)])], self.exchange.sent)
-
-    async def test_answers_are_paced_and_not_doubled(self):
-        leading = self.build(10)
+        self.now_s = conf.MAP_REQUEST_DELAY_LARGE_S
+        member_delivery.request_overdue_map(directive, state)
+        await self.run_for(member_delivery, 0.01)
+        request = group.MapRequest(
+            group='g', version=VERSION, host=make_host(8)
+        )
+        self.assertEqual([(request, [make_host(10)])], self.exchange.sent)
+
+    async def test_answers_are_paced_and_not_repeated(self):
+        leader_delivery = self.build(10)
         self.contents.add_map(EXPERT_MAP)
         for _ in range(2):
             for rank in range(4):
-                leading.answer(
+                leader_delivery.answer_request(
                     group.MapRequest(
-                        group='g', version=VERSION, host=host_of(rank)
+                        group='g', version=VERSION, host=make_host(rank)
                     )
                 )
-        await self.run_for(leading, 1.5 * conf.MAP_PAUSE_S)
+        await self.run_for(leader_delivery, 1.5 * conf.MAP_ANSWER_INTERVAL_S)
         self.assertIn(len(self.exchange.sent), (1, 2))
-        await self.run_for(leading, 6 * conf.MAP_PAUSE_S)
+        await self.run_for(leader_delivery, 6 * conf.MAP_ANSWER_INTERVAL_S)
         self.assertEqual(
-            [[host_of(rank)] for rank in range(4)],
+            [[make_host(rank)] for rank in range(4)],
             [hosts for _, hosts in self.exchange.sent],
         )
 
     async def test_unknown_map_is_not_answered(self):
-        leading = self.build(10)
-        leading.answer(
-            group.MapRequest(group='g', version=VERSION, host=host_of(1))
+        leader_delivery = self.build(10)
+        leader_delivery.answer_request(
+            group.MapRequest(group='g', version=VERSION, host=make_host(1))
         )
-        await self.run_for(leading, 0.01)
+        await self.run_for(leader_delivery, 0.01)
         self.assertEqual([], self.exchange.sent)
--- a/packages/savoryyoke-agent/tests/test_exchange.py
+++ b/packages/savoryyoke-agent/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Test how fast large messages leave."""
+"""Test the sending of large messages."""
 
 import unittest
 from unittest import mock
@@ -13,33 +13,33 @@
 from savoryyoke_wire import group
 
 LINK_BYTES_PER_S = 500_000
-# What a narrow link holds back before it loses datagrams.
+# The queue of a narrow link; it drops datagrams that exceed it.
 LINK_QUEUE_BYTES = 30_000
 
 
 class Link:
-    """Stand in for a socket on a narrow link that loses what overflows."""
+    """Simulate a socket on a narrow link with a queue of limited size."""
 
     def __init__(self):
         self.now_s = 0.0
-        self.lost = 0
-        self.passed = 0
-        self._held_bytes = 0.0
-        self._at_s = 0.0
+        self.dropped = 0
+        self.sent = 0
+        self._queued_bytes = 0.0
+        self._last_sent_s = 0.0
 
     async def sendto(self, packed, host, port):
-        """Take a datagram, or lose it."""
-        drained = (self.now_s - self._at_s) * LINK_BYTES_PER_S
-        self._held_bytes = max(self._held_bytes - drained, 0.0)
-        self._at_s = self.now_s
-        if self._held_bytes + len(packed) > LINK_QUEUE_BYTES:
-            self.lost += 1
+        """Queue a datagram, or drop it if the queue is full."""
+        drained_bytes = (self.now_s - self._last_sent_s) * LINK_BYTES_PER_S
+        self._queued_bytes = max(self._queued_bytes - drained_bytes, 0.0)
+        self._last_sent_s = self.now_s
+        if self._queued_bytes + len(packed) > LINK_QUEUE_BYTES:
+            self.dropped += 1
             return
-        self._held_bytes += len(packed)
-        self.passed += 1
+        self._queued_bytes += len(packed)
+        self.sent += 1
 
     async def sleep(self, pause_s):
-        """Let time pass."""
+        """Advance the time."""
         self.now_s += pause_s
 
 
@@ -57,11 +57,11 @@
         self.exchange._socket = self.link
         self.enterContext(mock.patch.object(anyio, 'sleep', self.link.sleep))
 
-    def build_map(self, *, sets, ranks, places):
-        """Return the message that holds a map."""
+    def build_map(self, *, sets, ranks, slots):
+        """Return a message with a map of this shape."""
         experts = tuple(
             tuple(
-                tuple((31 * rank + place) % 252 for place in range(places))
+                tuple((31 * rank + slot) % 252 for slot in range(slots))
                 for rank in range(ranks)
             )
             for _ in range(sets)
@@ -74,31 +74,31 @@
 
 class SpacedTests(ExchangeCase):
     async def test_maps_of_a_large_group_pass_a_narrow_link(self):
-        message = self.build_map(sets=8, ranks=63, places=5)
+        message = self.build_map(sets=8, ranks=63, slots=5)
         hosts = [f'10.0.0.{number}' for number in range(15)]
-        await self.exchange.send_spaced(message, hosts)
-        self.assertEqual((0, 15), (self.link.lost, self.link.passed))
-        self.assertLess(self.link.now_s, conf.BLOCK_MAP_PATIENCE_S / 2)
+        await self.exchange.send_paced(message, hosts)
+        self.assertEqual((0, 15), (self.link.dropped, self.link.sent))
+        self.assertLess(self.link.now_s, conf.MAP_REQUEST_DELAY_LARGE_S / 2)
 
-    async def test_a_burst_would_lose_most(self):
-        message = self.build_map(sets=8, ranks=63, places=5)
+    async def test_unpaced_maps_overflow_a_narrow_link(self):
+        message = self.build_map(sets=8, ranks=63, slots=5)
         hosts = [f'10.0.0.{number}' for number in range(15)]
         await self.exchange.send(message, hosts)
-        self.assertGreater(self.link.lost, 5)
+        self.assertGreater(self.link.dropped, 5)
 
-    async def test_maps_of_a_small_group_leave_at_once(self):
-        message = self.build_map(sets=4, ranks=12, places=8)
+    async def test_maps_of_a_small_group_are_sent_at_once(self):
+        message = self.build_map(sets=4, ranks=12, slots=8)
         hosts = [f'10.0.0.{number}' for number in range(11)]
-        await self.exchange.send_spaced(message, hosts)
+        await self.exchange.send_paced(message, hosts)
         self.assertEqual(0.0, self.link.now_s)
-        self.assertEqual(0, self.link.lost)
+        self.assertEqual(0, self.link.dropped)
 
 
 class LargeGroupTests(ExchangeCase):
-    """Test messages that no datagram holds."""
+    """Test messages that exceed a datagram."""
 
     async def deliver(self, message):
-        """Send a message to an exchange that takes it in."""
+        """Send a message and receive its datagrams in reverse order."""
         sent = []
 
         async def sendto(packed, host, port):
@@ -107,34 +107,34 @@
         with mock.patch.object(self.link, 'sendto', sendto):
             await self.exchange.send(message, ['10.0.0.1'])
         for packed in reversed(sent):
-            self.exchange._take_in(packed, '10.0.0.9')
+            self.exchange._receive_datagram(packed, '10.0.0.9')
         return sent
 
-    async def test_messages_arrive_whole(self):
-        message = self.build_map(sets=16, ranks=129, places=3)
+    async def test_messages_are_reassembled(self):
+        message = self.build_map(sets=16, ranks=129, slots=3)
         sent = await self.deliver(message)
         self.assertGreater(len(sent), 1)
         self.assertEqual([message], self.received)
 
-    async def test_greatest_messages_stay_below_the_limit(self):
+    async def test_datagrams_of_large_messages_stay_below_the_limit(self):
         for shape in ((16, 1300, 8), (64, 129, 16)):
-            sets, ranks, places = shape
+            sets, ranks, slots = shape
             with self.subTest(shape=shape):
-                message = self.build_map(sets=sets, ranks=ranks, places=places)
+                message = self.build_map(sets=sets, ranks=ranks, slots=slots)
                 sent = await self.deliver(message)
                 longest = max(len(packed) for packed in sent)
                 self.assertLessEqual(longest, wire_conf.DATAGRAM_LIMIT_BYTES)
                 self.assertEqual(message, self.received.pop())
 
-    async def test_message_beyond_the_limit_ends_nothing(self):
-        message = self.build_map(sets=64, ranks=1300, places=8)
+    async def test_message_beyond_the_limit_is_dropped(self):
+        message = self.build_map(sets=64, ranks=1300, slots=8)
         self.assertEqual([], await self.deliver(message))
         await self.deliver(group.MapRequest(group='g', version=1, host='h'))
         self.assertEqual(1, len(self.received))
 
-    async def test_message_that_fails_ends_nothing(self):
+    async def test_message_that_fails_does_not_end_the_process(self):
         def fail(message):
-            raise ValueError('a decision that went wrong')
+            raise ValueError('invalid decision')
 
         self.exchange._receive = fail
         with self.assertLogs('absl', 'ERROR') as written:
