--- a/packages/savoryyoke-agent/savoryyoke_agent/conf.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/conf.py
@@ -22,10 +22,12 @@
 # 3 to 5 KB each, they use a quarter of a link of 4 Mbit/s.
 COUNTS_INTERVAL_S = 0.15
 COUNTS_INTERVAL_LARGE_S = 0.3
+# Interval at which the leader searches for a better map.
 PLAN_INTERVAL_S = 0.1
 
-# A link of 4 Mbit/s drops what exceeds some 30 KB of a burst. Paced messages
-# leave a quarter of the link to other traffic.
+# A link of 4 Mbit/s drops what exceeds some 30 KB of a burst. Large messages
+# are therefore paced after the first bytes, at a rate that leaves a quarter of
+# the link to other traffic.
 UNPACED_BYTES = 20_000
 PACED_LINK_SHARE = 0.75
 
--- a/packages/savoryyoke-agent/savoryyoke_agent/daemon.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/daemon.py
@@ -1,4 +1,4 @@
-"""Assemble the agent of one rank."""
+"""Run the agent of one rank as a daemon."""
 
 import dataclasses
 import functools
@@ -316,7 +316,10 @@
         await self.observe_remote_rank(host)
 
     async def observe_remote_rank(self, host):
-        """Observe the engine of a rank whose agent doesn't respond."""
+        """Observe the engine of a rank whose agent doesn't respond.
+
+        The leader in this process gets the state as a report.
+        """
         state = await self._engine.observe(host=host)
         if state is not None and self._leader is not None:
             report = models.RankReport(
@@ -489,9 +492,11 @@
                 members = self._membership.members
                 if members is not None:
                     self._balancer.set_shape(members.shape)
-            is_known = self._membership.members is not None
+            has_members = self._membership.members is not None
             await anyio.sleep(
-                conf.MEMBERS_INTERVAL_S if is_known else conf.REPEAT_INTERVAL_S
+                conf.MEMBERS_INTERVAL_S
+                if has_members
+                else conf.REPEAT_INTERVAL_S
             )
 
     def _needs_refresh(self, state):
@@ -531,7 +536,10 @@
 
 
 def _select_change_fields(report):
-    """Return the fields whose changes are reported to the leader at once."""
+    """Return the fields whose changes are reported to the leader at once.
+
+    Other fields, such as the step, change with each pass.
+    """
     state = report.state
     return (
         report.term,
--- a/packages/savoryyoke-agent/savoryyoke_agent/exchange.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/exchange.py
@@ -53,7 +53,7 @@
                     await self._send_datagram(packed, host, port or self._port)
 
     async def send_paced(self, message, hosts):
-        """Send a large message to hosts at the pace of the VM's link."""
+        """Send a large message to hosts, after a burst at a limited rate."""
         if self._socket is None:
             return
         datagrams = self._encode(message)
