--- a/packages/savoryyoke-edge/savoryyoke_edge/__init__.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, settings, metrics and platform readers shared by the daemons."""
+"""Logs, settings, servers and network code that the daemons share."""
--- a/packages/savoryyoke-edge/savoryyoke_edge/admin.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/admin.py
@@ -1,4 +1,4 @@
-"""Serve the operators' side of a daemon: health, metrics, status, drain."""
+"""Serve the admin endpoints of a daemon: health, metrics, status, drain."""
 
 import hmac
 import json
@@ -10,10 +10,11 @@
 
 
 class Admin:
-    """Answer operators over HTTP.
+    """Serve the admin endpoints as an ASGI application.
 
-    ``daemon`` has ``ready`` (a bool), ``build_status()`` (a mapping that
-    JSON can hold) and ``start_drain()``.
+    ``daemon`` has ``ready`` (a bool), ``build_status()`` (returns a mapping
+    that JSON can represent) and ``start_drain()``. ``registry`` holds the
+    Prometheus metrics. Without ``token``, draining needs no authorization.
     """
 
     def __init__(self, *, daemon, registry, token=None):
@@ -29,20 +30,20 @@
         }
 
     async def __call__(self, scope, receive, send):
-        """Serve one ASGI request."""
+        """Serve one ASGI request; ignore scopes other than HTTP."""
         if scope['type'] != 'http':
             return
         route = (scope['method'], scope['path'])
         handler = self._handlers_by_route.get(route)
         if handler is None:
-            status, kind, body = 404, _TEXT, b'not found\n'
+            status, content_type, body = 404, _TEXT, b'not found\n'
         else:
-            status, kind, body = handler(scope)
+            status, content_type, body = handler(scope)
         await send(
             {
                 'type': 'http.response.start',
                 'status': status,
-                'headers': [(b'content-type', kind)],
+                'headers': [(b'content-type', content_type)],
             }
         )
         await send({'type': 'http.response.body', 'body': body})
@@ -73,6 +74,6 @@
         if self._token is None:
             return True
         headers_by_name = dict(scope['headers'])
-        given = headers_by_name.get(b'authorization', b'')
+        received = headers_by_name.get(b'authorization', b'')
         expected = b'Bearer ' + self._token.get_secret_value().encode()
-        return hmac.compare_digest(given, expected)
+        return hmac.compare_digest(received, expected)
--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/__init__.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/__init__.py
@@ -1,1 +1,1 @@
-"""Running of a binary's commands, each failure told in one clear line."""
+"""Command-line interface of the binaries."""
--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/binding.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/binding.py
@@ -1,4 +1,4 @@
-"""Binding of arguments to a command's parameters, by fire."""
+"""Bind command-line arguments to the parameters of commands, with fire."""
 
 import contextlib
 import dataclasses
@@ -11,22 +11,25 @@
 
 from savoryyoke_edge.command_line import exceptions
 
-# What fire ends with unless an argument is left over.
+# Returned through fire if it consumed all arguments.
 _BOUND = object()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """Hold the arguments of a command, so that it runs outside of fire."""
+    """Hold the bound arguments of a command, to call it without fire."""
 
     arguments: tuple
     options: dict
 
 
 def check_flags(program, command, arguments):
-    """Refuse flags without a value, which fire would read as true."""
+    """Check that each flag is given once and has a value.
+
+    Fire would read a flag without a value as true. Raise ``CommandError``.
+    """
     hint = f'see {program} {command.name} --help'
-    seen = set()
+    given_names = set()
     remaining = list(arguments)
     while remaining:
         flag, equals, _ = remaining.pop(0).partition('=')
@@ -35,11 +38,11 @@
             raise exceptions.CommandError(
                 problem=f'{flag!r} is not a flag; {hint}'
             )
-        if name in seen:
+        if name in given_names:
             raise exceptions.CommandError(
                 problem=f'{name} is given twice; {hint}'
             )
-        seen.add(name)
+        given_names.add(name)
         if equals or name == '--print-settings':
             continue
         if not remaining or remaining.pop(0).startswith('--'):
@@ -49,13 +52,13 @@
 
 
 def accept_flags(**flags):
-    """Accept any flags."""
+    """Accept any flags; the settings loader checks them."""
 
 
 def bind_call(program, name, function, arguments):
-    """Return the ``Call`` that ``arguments`` describe, not yet made.
+    """Return ``arguments`` bound to ``function`` as a ``Call``.
 
-    Raise ``CommandError`` where they do not fit ``function``.
+    Raise ``CommandError`` if they do not match the parameters.
     """
     hint = f'see {program} {name} --help'
     if '--' in arguments:
@@ -64,8 +67,8 @@
 
     @fire.decorators.SetParseFn(str)
     @functools.wraps(function)
-    def bind(*bound, **options):
-        calls.append(Call(arguments=bound, options=options))
+    def bind(*positional, **options):
+        calls.append(Call(arguments=positional, options=options))
         return _BOUND
 
     output = io.StringIO()
@@ -78,7 +81,8 @@
             problem=f'{name}: {_describe_exit(error)}; {hint}'
         ) from None
     except TypeError:
-        # Fire went into a member of the result, and could not call it.
+        # Fire used a surplus argument as a member of the result and failed
+        # to call that member.
         result = None
     if result is not _BOUND or len(calls) != 1:
         raise exceptions.CommandError(
--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/commands.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/commands.py
@@ -1,4 +1,4 @@
-"""Commands of a binary."""
+"""Description of the commands of a binary."""
 
 import dataclasses
 
@@ -9,7 +9,8 @@
 class Command:
     """Describe one command of a binary.
 
-    ``settings`` is the settings model of a command that starts a process.
+    ``module`` is the full name of the module that implements it.
+    ``settings`` is the settings model if the command starts a daemon.
     """
 
     name: str
--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/exceptions.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/exceptions.py
@@ -4,9 +4,9 @@
 
 
 class CommandError(Exception):
-    """Report why a command cannot go on; its text is one line."""
+    """Report why a command failed, as one line of text."""
 
     def __init__(self, *, problem, status=results.ExitStatus.USAGE):
-        """Hold the ``problem`` and the exit status that it leads to."""
+        """Store the ``problem`` text and the exit status."""
         super().__init__(problem)
         self.status = status
--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/help_texts.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/help_texts.py
@@ -1,4 +1,4 @@
-"""Help texts, from the docstrings of commands and the settings."""
+"""Help texts, built from the docstrings of commands and the settings."""
 
 import ast
 import importlib.util
@@ -7,7 +7,7 @@
 from savoryyoke_edge.settings import loader
 
 EXIT_STATUSES = (
-    'Exit status: 0 success; 1 the answer is no, or the file is not valid;\n'
+    'Exit status: 0 success; 1 negative result, or the file is not valid;\n'
     '2 wrong usage, settings or unreadable file; 3 the daemon cannot be\n'
     'reached; 4 the daemon refused; 70 internal error; 130 interrupted.'
 )
@@ -20,8 +20,8 @@
     for command in commands:
         summary = _read_docstring(command).partition('\n')[0]
         lines.append(f'  {command.name:{width}}  {summary}')
-    more = f'{program} COMMAND --help tells more.'
-    return results.Result(lines=(*lines, '', more, '', EXIT_STATUSES))
+    hint = f'{program} COMMAND --help describes one command.'
+    return results.Result(lines=(*lines, '', hint, '', EXIT_STATUSES))
 
 
 def build_help(program, command):
@@ -51,7 +51,7 @@
 
 
 def _read_docstring(command):
-    """Return the docstring of a command without importing what it needs."""
+    """Return the docstring of a command without importing its module."""
     spec = importlib.util.find_spec(command.module)
     if spec is None or spec.loader is None:
         return ''
--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/results.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/results.py
@@ -18,7 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Result:
-    """Hold what a command prints and its exit status."""
+    """Hold the output of a command and its exit status.
+
+    ``lines`` go to standard output, ``problems`` to standard error.
+    """
 
     lines: tuple[str, ...] = ()
     problems: tuple[str, ...] = ()
--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/runner.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/runner.py
@@ -1,4 +1,4 @@
-"""Run the commands of a binary and turn what fails into one clear line.
+"""Run the commands of a binary and report each failure as one line.
 
 A command ``check`` is the function ``check`` of the module ``check`` in the
 binary's ``commands`` package. The module's docstring is its help.
@@ -18,11 +18,14 @@
 from savoryyoke_edge.settings import loader
 
 HELP_FLAGS = ('--help', '-h')
-FRAMES_SHOWN = 4
+SHOWN_FRAMES_LIMIT = 4
 
 
 def main(*, program, commands, arguments=None):
-    """Run one command line and return the exit status."""
+    """Run one command and return the exit status.
+
+    ``arguments`` default to those of the process.
+    """
     arguments = sys.argv[1:] if arguments is None else arguments
     try:
         result = _run(program, commands, list(arguments))
@@ -36,13 +39,13 @@
     except KeyboardInterrupt:
         return int(results.ExitStatus.INTERRUPTED)
     except BrokenPipeError:
-        # The reader of the output has gone; the interpreter must not fail
-        # while it flushes the rest.
+        # The reader closed the pipe. Redirect standard output, so that the
+        # interpreter does not fail when it flushes the rest at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return int(results.ExitStatus.OK)
     except Exception as error:
         return _report(
-            program, [_describe(error)], results.ExitStatus.INTERNAL
+            program, [_describe_error(error)], results.ExitStatus.INTERNAL
         )
 
 
@@ -63,24 +66,24 @@
     if any(argument in HELP_FLAGS for argument in rest):
         return help_texts.build_help(program, command)
     if command.settings is not None:
-        return _start(program, command, rest)
-    return _call(program, command, rest)
+        return _run_daemon(program, command, rest)
+    return _call_command(program, command, rest)
 
 
-def _start(program, command, arguments):
-    """Start a process, or print its settings."""
+def _run_daemon(program, command, arguments):
+    """Run a daemon until it stops, or print its settings."""
     binding.check_flags(program, command, arguments)
     flags = binding.bind_call(
         program, command.name, binding.accept_flags, arguments
     ).options
-    prints = flags.pop('print_settings', None)
+    print_flag = flags.pop('print_settings', None)
     settings = loader.load(command.settings, flags=flags, environ=os.environ)
-    if prints is not None:
+    if print_flag is not None:
         return results.Result(lines=(loader.render(settings),))
     try:
         _import_function(command)(**flags)
     except Exception as error:
-        cause = _unwrap(error)
+        cause = _unwrap_group(error)
         if not isinstance(cause, OSError):
             raise
         problem = f'cannot run: {cause}'
@@ -88,7 +91,7 @@
     return results.Result()
 
 
-def _call(program, command, arguments):
+def _call_command(program, command, arguments):
     function = _import_function(command)
     call = binding.bind_call(program, command.name, function, arguments)
     return function(*call.arguments, **call.options)
@@ -109,35 +112,35 @@
         print(line)
     sys.stdout.flush()
     for problem in result.problems:
-        print(_keep_on_line(problem), file=sys.stderr)
+        print(_escape_line(problem), file=sys.stderr)
 
 
 def _report(program, problems, status):
     for problem in problems:
-        print(f'{program}: {_keep_on_line(problem)}', file=sys.stderr)
+        print(f'{program}: {_escape_line(problem)}', file=sys.stderr)
     return int(status)
 
 
-def _keep_on_line(text):
-    """Escape what would end the line or steer a terminal."""
+def _escape_line(text):
+    """Escape line breaks and terminal control characters."""
     return ''.join(
         character if character.isprintable() else repr(character)[1:-1]
         for character in text
     )
 
 
-def _describe(error):
-    error = _unwrap(error)
-    frames = traceback.extract_tb(error.__traceback__)[-FRAMES_SHOWN:]
-    place = ' < '.join(
+def _describe_error(error):
+    error = _unwrap_group(error)
+    frames = traceback.extract_tb(error.__traceback__)[-SHOWN_FRAMES_LIMIT:]
+    location = ' < '.join(
         f'{os.path.basename(frame.filename)}:{frame.lineno}'
         for frame in reversed(frames)
     )
     text = ' '.join(str(error).split())
-    return f'internal error: {type(error).__name__}: {text} ({place})'
+    return f'internal error: {type(error).__name__}: {text} ({location})'
 
 
-def _unwrap(error):
+def _unwrap_group(error):
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/packages/savoryyoke-edge/savoryyoke_edge/connections.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/connections.py
@@ -1,7 +1,7 @@
 """Exchange protocol messages over one TCP connection.
 
-The connection's task owns its socket. Others hand it messages through
-``send`` and get the peer's messages through the handler.
+Only the task in ``Connection.run`` uses the socket. Other tasks queue
+messages with ``send``; messages of the peer are passed to the handler.
 """
 
 import socket
@@ -24,7 +24,10 @@
 
 
 class Connection:
-    """Carry messages to and from one peer."""
+    """Send messages to one peer and receive its messages.
+
+    ``peer`` is the peer's ``Hello`` after ``open``.
+    """
 
     def __init__(self, *, stream, hello):
         self._stream = stream
@@ -38,30 +41,32 @@
 
     @property
     def closed(self):
-        """Tell whether the connection has ended."""
+        """Return whether the connection is closed or closing."""
         return self._closed
 
     async def open(self):
-        """Exchange greetings and return the messages that followed.
+        """Do the handshake and return messages received along with it.
 
-        Raise ``ConnectionLost`` where the peer is silent, gone, or speaks
-        another protocol.
+        Raise ``ConnectionLost`` if the peer sends no ``Hello`` in time,
+        disconnects, or uses an incompatible protocol.
         """
         self._queue_bytes(wire_conf.PREFACE)
         self.send(self._hello)
         try:
             with anyio.fail_after(HELLO_TIMEOUT_S):
                 await self._flush()
-                early = await self._receive_hello()
+                early_messages = await self._receive_hello()
         except (TimeoutError, OSError, anyio.EndOfStream) as error:
-            raise exceptions.ConnectionLost('no greeting') from error
+            raise exceptions.ConnectionLost(
+                'no Hello from the peer'
+            ) from error
         except (
             anyio.BrokenResourceError,
             anyio.ClosedResourceError,
             wire_exceptions.WireError,
         ) as error:
             raise exceptions.ConnectionLost(str(error)) from error
-        return early
+        return early_messages
 
     async def _receive_hello(self):
         received = []
@@ -70,34 +75,43 @@
             received = self._splitter.feed(data)
         hello = codec.decode(received[0])
         if not isinstance(hello, messages.Hello):
-            raise wire_exceptions.MalformedMessage('no greeting')
+            raise wire_exceptions.MalformedMessage(
+                'the first message is not a Hello'
+            )
         versions.choose_version(hello)
         self.peer = hello
         return [codec.decode(frame) for frame in received[1:]]
 
     def send(self, message):
-        """Queue ``message``; raise ``ConnectionLost`` once closed."""
+        """Queue ``message`` for sending.
+
+        Raise ``ConnectionLost`` if the connection is closed or more than
+        ``OUTBOX_LIMIT_BYTES`` are queued; the latter closes it.
+        """
         if self._closed:
             raise exceptions.ConnectionLost('the connection is closed')
         self._queue_bytes(frames.build_frame(codec.encode(message)))
         if self._outbox_bytes > OUTBOX_LIMIT_BYTES:
             self._closed = True
             self._outbox_ready.set()
-            raise exceptions.ConnectionLost('the peer reads too slowly')
+            raise exceptions.ConnectionLost(
+                'the peer reads too slowly; the outbox is full'
+            )
 
     def _queue_bytes(self, data):
         self._outbox.append(data)
         self._outbox_bytes += len(data)
         self._outbox_ready.set()
 
-    async def run(self, handle, early=()):
-        """Serve the connection until it ends, then close it.
+    async def run(self, handle, early_messages=()):
+        """Send and receive until the connection ends, then close it.
 
         ``handle(message)`` is called for each message of the peer, in
-        order, and must not wait.
+        order, and must not block. ``early_messages`` holds the messages
+        that ``open`` returned; they are handled first.
         """
         try:
-            for message in early:
+            for message in early_messages:
                 if message is not None:
                     handle(message)
             async with anyio.create_task_group() as tasks:
@@ -156,7 +170,7 @@
             await self._stream.send(data)
 
     def close(self):
-        """End the connection; its ``run`` returns soon after."""
+        """Close the connection; ``run`` returns soon after."""
         self._closed = True
         self._outbox_ready.set()
 
@@ -164,7 +178,8 @@
 async def connect(*, address, hello, timeout_s):
     """Return a connection to ``address`` and the messages already received.
 
-    Raise ``ConnectionLost`` where there is no peer within ``timeout_s``.
+    ``timeout_s`` limits connecting, ``HELLO_TIMEOUT_S`` the handshake. Raise
+    ``ConnectionLost`` if either fails.
     """
     try:
         with anyio.fail_after(timeout_s):
@@ -176,8 +191,8 @@
     )
     connection = Connection(stream=stream, hello=hello)
     try:
-        early = await connection.open()
+        early_messages = await connection.open()
     except BaseException:
         await anyio.aclose_forcefully(stream)
         raise
-    return connection, early
+    return connection, early_messages
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/__init__.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/__init__.py
@@ -1,5 +1,6 @@
-"""Take part in the control of the fleet: membership and configuration.
+"""Control plane of a daemon: fleet membership and configuration.
 
-``plane.ControlPlane`` is what a daemon owns; ``gossip`` carries membership
-over UDP and ``exchange`` documents over TCP at the same address.
+A daemon creates one ``plane.ControlPlane``. ``gossip`` carries membership
+messages over UDP; ``exchange`` carries configuration documents over TCP at
+the same address.
 """
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/conf.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/conf.py
@@ -1,9 +1,9 @@
-"""Defaults of the control plane."""
+"""Time limits and periods of the control plane."""
 
 EXCHANGE_CONNECT_TIMEOUT_S = 1.0
 EXCHANGE_TIMEOUT_S = 3.0
-BIND_TRIES = 20
+BIND_ATTEMPTS = 20
 PROPAGATION_TICK_S = 0.25
 ENTRY_VM_LIST_PERIOD_S = 1.0
 TARGET_VM_LIST_PERIOD_S = 30.0
-VM_LIST_RETRY_S = 1.0
+VM_LIST_RETRY_DELAY_S = 1.0
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/exchange.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/exchange.py
@@ -1,4 +1,4 @@
-"""Ask other processes for documents, and answer theirs, over TCP."""
+"""Send requests to other processes, and answer theirs, over TCP."""
 
 import itertools
 
@@ -13,26 +13,26 @@
 
 
 class Exchange:
-    """Own the control listener and the connections on it.
+    """Own the TCP listener of the control address and its connections.
 
-    ``on_request(request, reply)`` gets each request of a peer, with a
-    function that sends one message back.
+    ``on_request(request, reply)`` is called for each request of a peer;
+    ``reply(message)`` sends one message back on the same connection.
     """
 
     def __init__(self, *, listener, hello, on_request):
         self._listener = listener
         self._hello = hello
         self._on_request = on_request
-        self._numbers = itertools.count(1)
+        self._request_ids = itertools.count(1)
 
     async def run(self):
-        """Serve peers until cancelled."""
-        await self._listener.serve(self._serve)
+        """Accept and serve connections of peers until cancelled."""
+        await self._listener.serve(self._serve_connection)
 
-    async def _serve(self, stream):
+    async def _serve_connection(self, stream):
         connection = connections.Connection(stream=stream, hello=self._hello)
         try:
-            early = await connection.open()
+            early_messages = await connection.open()
         except exceptions.ConnectionLost as error:
             logs.write_event(
                 'connection_refused', level='warning', reason=str(error)
@@ -47,48 +47,49 @@
                 return
 
         await connection.run(
-            lambda message: self._on_request(message, reply), early
+            lambda message: self._on_request(message, reply), early_messages
         )
 
     async def ask(self, address, build_request):
-        """Return a peer's answer to one request.
+        """Return the answer of the peer at ``address`` to one request.
 
-        ``build_request(request_id)`` returns the message. Raise
-        ``ConnectionLost`` where there is no answer in time.
+        ``address`` is ``host:port`` as text. ``build_request(request_id)``
+        returns the request message. Raise ``ConnectionLost`` if the address
+        is invalid or no answer arrives in time.
         """
-        request = build_request(next(self._numbers))
+        request = build_request(next(self._request_ids))
         try:
-            connection, early = await connections.connect(
+            connection, early_messages = await connections.connect(
                 address=addresses.parse_peer_address(address),
                 hello=self._hello,
                 timeout_s=conf.EXCHANGE_CONNECT_TIMEOUT_S,
             )
         except ValueError as error:
             raise exceptions.ConnectionLost(str(error)) from error
-        return await _await_answer(connection, early, request)
+        return await _await_answer(connection, early_messages, request)
 
 
-async def _await_answer(connection, early, request):
+async def _await_answer(connection, early_messages, request):
     answers = []
 
-    def take(message):
+    def handle_message(message):
         if getattr(message, 'request_id', None) == request.request_id:
             answers.append(message)
             connection.close()
 
     connection.send(request)
     with anyio.move_on_after(conf.EXCHANGE_TIMEOUT_S):
-        await connection.run(take, early)
+        await connection.run(handle_message, early_messages)
     if not answers:
-        raise exceptions.ConnectionLost('no answer')
+        raise exceptions.ConnectionLost('no answer in time')
     return answers[0]
 
 
-def is_state(answer):
-    """Tell whether an answer is a process's state."""
+def is_state_answer(answer):
+    """Return whether ``answer`` is a ``StateAnswer``."""
     return isinstance(answer, messages.StateAnswer)
 
 
 def is_document(answer):
-    """Tell whether an answer is a document."""
+    """Return whether ``answer`` is a ``Document``."""
     return isinstance(answer, messages.Document)
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/gossip.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/gossip.py
@@ -1,4 +1,4 @@
-"""Exchange membership's messages as UDP datagrams."""
+"""Exchange membership messages as UDP datagrams."""
 
 import anyio
 
@@ -11,9 +11,10 @@
 
 
 class Gossip:
-    """Own the UDP socket and the membership of this process.
+    """Own the UDP socket and the membership aggregate of this process.
 
-    ``on_decision(decision)`` gets every decision but those to send.
+    ``on_decision(decision)`` is called for each decision of the aggregate
+    except ``Send``, which is sent as a datagram.
     """
 
     def __init__(self, *, socket, membership, clock, tick_s, on_decision):
@@ -24,18 +25,18 @@
         self._on_decision = on_decision
         self._outbox = []
         self._outbox_ready = anyio.Event()
-        self._sending = anyio.Lock()
+        self._send_lock = anyio.Lock()
         self.sent_bytes = 0
         self.received_bytes = 0
-        self.refused_datagrams = 0
+        self.malformed_datagrams = 0
 
     @property
     def membership(self):
-        """Return the aggregate, for queries."""
+        """Return the membership aggregate, for queries."""
         return self._membership
 
     def feed(self, event):
-        """Pass an event to membership and carry out its decisions."""
+        """Apply an event to the membership and carry out its decisions."""
         for decision in self._membership.apply(event, now_s=self._clock()):
             if isinstance(decision, decisions.Send):
                 self._outbox.append(decision)
@@ -44,39 +45,42 @@
                 self._on_decision(decision)
 
     async def run(self):
-        """Serve until cancelled."""
+        """Send, receive and tick until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._receive)
-            tasks.start_soon(self._send)
-            tasks.start_soon(self._tick)
+            tasks.start_soon(self._receive_loop)
+            tasks.start_soon(self._send_loop)
+            tasks.start_soon(self._tick_loop)
 
     async def flush(self):
-        """Send what is waiting; for the last message of a process."""
-        await self._send_waiting()
+        """Send all queued datagrams, for example before the process stops."""
+        await self._send_queued()
 
-    async def _tick(self):
+    async def _tick_loop(self):
         while True:
             await anyio.sleep(self._tick_s)
             self.feed(events.Ticked())
 
-    async def _receive(self):
+    async def _receive_loop(self):
         while True:
             try:
-                packed, (host, port, *_) = await self._socket.receive()
+                payload, (host, port, *_) = await self._socket.receive()
             except OSError as error:
-                # An earlier datagram reached nobody; others may still.
+                # The error concerns a datagram sent earlier (for example, ICMP
+                # port unreachable); the socket stays usable.
                 logs.write_event(
                     'datagram_failed', level='debug', reason=str(error)
                 )
                 continue
-            self.received_bytes += len(packed)
-            self._take(packed, addresses.Address(host=host, port=port))
+            self.received_bytes += len(payload)
+            self._handle_datagram(
+                payload, addresses.Address(host=host, port=port)
+            )
 
-    def _take(self, packed, address):
+    def _handle_datagram(self, payload, address):
         try:
-            message = gossip.decode(packed)
+            message = gossip.decode(payload)
         except wire_exceptions.WireError as error:
-            self.refused_datagrams += 1
+            self.malformed_datagrams += 1
             logs.write_event(
                 'datagram_refused',
                 level='warning',
@@ -88,24 +92,24 @@
             events.MessageReceived(message=message, address=str(address))
         )
 
-    async def _send(self):
+    async def _send_loop(self):
         while True:
             await self._outbox_ready.wait()
             self._outbox_ready = anyio.Event()
-            await self._send_waiting()
+            await self._send_queued()
 
-    async def _send_waiting(self):
-        # One task at a time may use the socket.
-        async with self._sending:
-            waiting, self._outbox = self._outbox, []
-            for decision in waiting:
-                await self._send_one(decision)
+    async def _send_queued(self):
+        # anyio allows only one task at a time to send on a socket.
+        async with self._send_lock:
+            queued, self._outbox = self._outbox, []
+            for decision in queued:
+                await self._send_datagram(decision)
 
-    async def _send_one(self, decision):
+    async def _send_datagram(self, decision):
         try:
             address = addresses.parse_peer_address(decision.address)
-            packed = gossip.encode(decision.message)
-            await self._socket.sendto(packed, address.host, address.port)
+            payload = gossip.encode(decision.message)
+            await self._socket.sendto(payload, address.host, address.port)
         except (ValueError, OSError, wire_exceptions.WireError) as error:
             logs.write_event(
                 'datagram_not_sent',
@@ -114,4 +118,4 @@
                 reason=str(error),
             )
             return
-        self.sent_bytes += len(packed)
+        self.sent_bytes += len(payload)
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/plane.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/plane.py
@@ -1,4 +1,4 @@
-"""Tie membership and the spread of configuration to this process."""
+"""Run fleet membership and configuration propagation in a daemon."""
 
 import functools
 
@@ -16,9 +16,9 @@
 from savoryyoke_edge.control import conf
 from savoryyoke_edge.control import exchange
 from savoryyoke_edge.control import gossip
-from savoryyoke_edge.control import judge
+from savoryyoke_edge.control import propagation_driver
 from savoryyoke_edge.control import sockets
-from savoryyoke_edge.control import spread
+from savoryyoke_edge.control import validator
 from savoryyoke_edge import exceptions
 from savoryyoke_edge import logs
 from savoryyoke_edge.settings import addresses
@@ -26,7 +26,7 @@
 
 ENTRY = 'entry'
 TARGET = 'target'
-_UP = frozenset(
+_REACHABLE_STATES = frozenset(
     {
         membership_messages.MemberState.ALIVE,
         membership_messages.MemberState.LEAVING,
@@ -36,12 +36,14 @@
 
 
 class ControlPlane:
-    """Own this process's part in the control of the fleet.
+    """Keep this process's membership, VM list and configuration current.
 
-    ``owner`` is told of news through ``on_applied(applied)``,
+    ``role`` is ``ENTRY`` or ``TARGET``; ``reader`` is a
+    ``platform.PlatformReader``; ``clock()`` returns monotonic seconds.
+    ``owner`` receives the callbacks ``on_applied(applied)``,
     ``on_vms(vm_list)``, ``on_member(decision)`` and
-    ``on_attachments(vm_id, attachments)``; that of an entry answers
-    ``answer_loan(request)``.
+    ``on_attachments(vm_id, attachments)``. The owner in an entry also has
+    ``answer_loan(request)``, which returns the answer to a loan request.
     """
 
     def __init__(self, *, settings, role, hello, reader, clock, owner):
@@ -51,10 +53,10 @@
         self._reader = reader
         self._clock = clock
         self._owner = owner
-        self._judge = judge.Judge()
+        self._validator = validator.ConfigurationValidator()
         self._gossip = None
         self._exchange = None
-        self._spread = None
+        self._propagation = None
         self._tasks = None
         self.address = ''
         self.applied = None
@@ -70,21 +72,24 @@
 
     @property
     def is_suspect(self):
-        """Tell whether this process cannot trust its own view."""
+        """Return whether this process's view of the fleet is unreliable."""
         return self._gossip is None or self.membership.is_suspect
 
     @property
     def sent_bytes(self):
-        """Return the bytes of datagrams sent so far."""
+        """Return the number of datagram bytes sent so far."""
         return self._gossip.sent_bytes if self._gossip else 0
 
     @property
     def received_bytes(self):
-        """Return the bytes of datagrams received so far."""
+        """Return the number of datagram bytes received so far."""
         return self._gossip.received_bytes if self._gossip else 0
 
     async def bind(self):
-        """Take the control address; call it before ``run``."""
+        """Bind the control address; must be called before ``run``.
+
+        Raise ``OSError`` if the address cannot be bound.
+        """
         socket, listener = await sockets.bind(self._settings.control_address)
         host, port = socket.extra(anyio.abc.SocketAttribute.local_address)
         advertised = self._settings.advertised_control_address
@@ -99,7 +104,9 @@
             on_decision=self._carry_out,
         )
         self._exchange = exchange.Exchange(
-            listener=listener, hello=self._hello, on_request=self._answer
+            listener=listener,
+            hello=self._hello,
+            on_request=self._answer_request,
         )
 
     def _build_membership(self):
@@ -113,10 +120,10 @@
         )
 
     async def run(self):
-        """Take part until cancelled."""
+        """Run membership and propagation until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            self._spread = spread.Spread(
+            self._propagation = propagation_driver.PropagationDriver(
                 propagation=self._build_propagation(),
                 reader=self._reader,
                 exchange=self._exchange,
@@ -127,7 +134,7 @@
             )
             tasks.start_soon(self._gossip.run)
             tasks.start_soon(self._exchange.run)
-            tasks.start_soon(self._spread.run)
+            tasks.start_soon(self._propagation.run)
             tasks.start_soon(self._watch_vms)
 
     def _build_propagation(self):
@@ -137,27 +144,27 @@
             data_centre=self._settings.data_centre,
             site=self._settings.site,
             sites=(self._settings.site,),
-            judge=self._judge,
+            judge=self._validator,
         )
 
     def start_leaving(self):
-        """Tell the others that this process gets ready to stop."""
+        """Announce to the fleet that this process is about to stop."""
         self._gossip.feed(membership_events.LeaveRequested())
 
     async def leave(self):
-        """Tell the others that this process has stopped."""
+        """Announce to the fleet that this process has stopped."""
         self._gossip.feed(membership_events.Stopped())
         await self._gossip.flush()
 
     def attach(self, attachments):
-        """Let messages to the others carry these payloads."""
+        """Set the attachments that outgoing membership messages carry."""
         self._gossip.feed(
             membership_events.AttachmentsChanged(attachments=attachments)
         )
 
     def apply_configuration(self, decision):
-        """Put a configuration into force in this process."""
-        self.applied = self._judge.build_applied(decision)
+        """Apply a configuration in this process and notify the owner."""
+        self.applied = self._validator.build_applied(decision)
         logs.write_event(
             'configuration_applied',
             revision=self.applied.revision_text,
@@ -167,7 +174,7 @@
         self._owner.on_applied(self.applied)
 
     def report(self, report):
-        """Tell the operators of a fault in what was read or received."""
+        """Log and count a fault in a document that was read or received."""
         self.reports += 1
         if report.kind.value == 'refused':
             self.refused_revisions = (
@@ -183,7 +190,7 @@
         )
 
     def send_summary(self, versions):
-        """Let messages to the others carry these versions."""
+        """Set the document versions that membership messages carry."""
         self._gossip.feed(membership_events.VersionsChanged(versions=versions))
 
     def _find_address(self, vm_id):
@@ -191,22 +198,25 @@
         return member.address if member is not None else None
 
     async def ask(self, vm_id, build_request):
-        """Return another process's answer to one request.
+        """Return the answer of process ``vm_id`` to one request.
 
-        Raise ``ConnectionLost`` where there is none in time.
+        ``build_request(request_id)`` returns the request message. Raise
+        ``ConnectionLost`` if no answer arrives in time.
         """
         address = self._find_address(vm_id)
         if address is None:
-            raise exceptions.ConnectionLost(f'{vm_id} has no address')
+            raise exceptions.ConnectionLost(
+                f'{vm_id} has no known control address'
+            )
         return await self._exchange.ask(address, build_request)
 
-    def _answer(self, request, reply):
+    def _answer_request(self, request, reply):
         if isinstance(request, messages.LoanRequest):
             if self._role == ENTRY:
                 reply(self._owner.answer_loan(request))
             return
-        if self._spread is not None:
-            self._spread.answer(request, reply)
+        if self._propagation is not None:
+            self._propagation.answer(request, reply)
 
     async def _watch_vms(self):
         period_s = conf.TARGET_VM_LIST_PERIOD_S
@@ -221,20 +231,22 @@
                 logs.write_event(
                     'vm_list_unavailable', level='warning', reason=str(error)
                 )
-                await anyio.sleep(conf.VM_LIST_RETRY_S)
+                await anyio.sleep(conf.VM_LIST_RETRY_DELAY_S)
                 continue
             if vm_list is not None:
                 self._vm_sequence = vm_list.sequence
-                self._take_vms(vm_list)
-            # A list without this process is from before it was listed.
-            listed = self.vm_list is not None and any(
+                self._apply_vm_list(vm_list)
+            # A list without this process is outdated; read it again soon.
+            is_listed = self.vm_list is not None and any(
                 vm.vm_id == self._settings.vm_id for vm in self.vm_list.vms
             )
-            await anyio.sleep(period_s if listed else conf.VM_LIST_RETRY_S)
+            await anyio.sleep(
+                period_s if is_listed else conf.VM_LIST_RETRY_DELAY_S
+            )
 
-    def _take_vms(self, vm_list):
-        known = self.vm_list
-        if known is not None and vm_list.sequence == known.sequence:
+    def _apply_vm_list(self, vm_list):
+        previous = self.vm_list
+        if previous is not None and vm_list.sequence == previous.sequence:
             return
         event = membership_events.VmListRead(
             sequence=vm_list.sequence,
@@ -249,12 +261,12 @@
                 for vm in vm_list.vms
             ),
         )
-        made = self.membership.apply(event, now_s=self._clock())
-        for decision in made:
+        made_decisions = self.membership.apply(event, now_s=self._clock())
+        for decision in made_decisions:
             self._carry_out(decision)
         if any(
-            isinstance(item, membership_decisions.VmListRefused)
-            for item in made
+            isinstance(decision, membership_decisions.VmListRefused)
+            for decision in made_decisions
         ):
             return
         self.vm_list = vm_list
@@ -265,14 +277,14 @@
 
     @functools.singledispatchmethod
     def _carry_out(self, decision):
-        """Report a change of one member."""
+        """Log a change of one member and notify the owner."""
         logs.write_event(
-            _name_event(decision),
+            _get_event_name(decision),
             vm=decision.vm_id,
             incarnation=f'{decision.incarnation:016x}',
         )
         self._owner.on_member(decision)
-        self._change_peers()
+        self._update_peers()
 
     @_carry_out.register
     def _(self, decision: membership_decisions.VmListRefused):
@@ -292,12 +304,12 @@
     @_carry_out.register
     def _(self, decision: membership_decisions.SelfConfirmed):
         logs.write_event('self_confirmed')
-        self._change_peers()
+        self._update_peers()
 
     @_carry_out.register
     def _(self, decision: membership_decisions.SummaryReceived):
-        if decision.versions and self._spread is not None:
-            self._spread.feed(
+        if decision.versions and self._propagation is not None:
+            self._propagation.feed(
                 propagation_events.SummaryReceived(
                     vm_id=decision.vm_id, versions=decision.versions
                 )
@@ -305,8 +317,8 @@
         if decision.attachments:
             self._owner.on_attachments(decision.vm_id, decision.attachments)
 
-    def _change_peers(self):
-        if self._spread is None:
+    def _update_peers(self):
+        if self._propagation is None:
             return
         peers = tuple(
             propagation_events.Peer(
@@ -315,24 +327,24 @@
                 data_centre=member.data_centre,
             )
             for member in self.membership.members()
-            if member.state in _UP
+            if member.state in _REACHABLE_STATES
         )
-        self._spread.feed(propagation_events.PeersChanged(peers=peers))
+        self._propagation.feed(propagation_events.PeersChanged(peers=peers))
 
 
-def _name_event(decision):
-    """Return ``member_failed`` for ``MemberFailed``, and so on."""
+def _get_event_name(decision):
+    """Return the log event of a decision, such as ``member_failed``."""
     name = type(decision).__name__.removeprefix('Member').lower()
     return f'member_{name}'
 
 
 def get_revision(plane):
-    """Return the revision in force as one word, empty without one."""
+    """Return the revision in force, or an empty text without one."""
     return plane.applied.revision_text if plane.applied else ''
 
 
 def describe_configuration(plane):
-    """Return what operators may see of the configuration."""
+    """Return the configuration fields of the operators' status page."""
     applied = plane.applied
     return {
         'revision': get_revision(plane),
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/spread.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/propagation_driver.py
@@ -1,4 +1,4 @@
-"""Carry out what propagation decides: reads, fetches and answers."""
+"""Carry out the decisions of the configuration propagation."""
 
 import functools
 import itertools
@@ -15,9 +15,10 @@
 from savoryyoke_wire import messages
 
 
-class Spread:
-    """Own the propagation of this process.
+class PropagationDriver:
+    """Own the propagation aggregate and do its input and output.
 
+    ``find_address(vm_id)`` returns the control address of a process, or None.
     ``owner`` has ``apply_configuration(decision)``, ``report(decision)`` and
     ``send_summary(versions)``.
     """
@@ -40,24 +41,27 @@
         self._tasks = tasks
         self._clock = clock
         self._owner = owner
-        self._numbers = itertools.count(1)
-        self._replies_by_number = {}
+        self._request_numbers = itertools.count(1)
+        self._pending_replies_by_number = {}
 
     async def run(self):
-        """Tick until cancelled."""
+        """Feed ticks to the propagation until cancelled."""
         while True:
             self.feed(events.Ticked())
             await anyio.sleep(conf.PROPAGATION_TICK_S)
 
     def feed(self, event):
-        """Pass an event to propagation and carry out its decisions."""
+        """Apply an event to the propagation and carry out its decisions."""
         for decision in self._propagation.apply(event, now_s=self._clock()):
             self._carry_out(decision)
 
     def answer(self, request, reply):
-        """Take a request of a peer."""
-        number = next(self._numbers)
-        self._replies_by_number[number] = (reply, request.request_id)
+        """Pass a peer's request to the propagation.
+
+        ``reply(message)`` sends the answer. Ignore other message types.
+        """
+        number = next(self._request_numbers)
+        self._pending_replies_by_number[number] = (reply, request.request_id)
         match request:
             case messages.StateRequest():
                 event = events.StateRequested(
@@ -70,7 +74,7 @@
                     revision=request.revision,
                 )
             case _:
-                del self._replies_by_number[number]
+                del self._pending_replies_by_number[number]
                 return
         self.feed(event)
 
@@ -104,7 +108,9 @@
 
     @_carry_out.register
     def _(self, decision: decisions.AnswerState):
-        reply, request_id = self._replies_by_number.pop(decision.request_id)
+        reply, request_id = self._pending_replies_by_number.pop(
+            decision.request_id
+        )
         reply(
             messages.StateAnswer(
                 request_id=request_id,
@@ -115,7 +121,9 @@
 
     @_carry_out.register
     def _(self, decision: decisions.ServeDocument):
-        reply, request_id = self._replies_by_number.pop(decision.request_id)
+        reply, request_id = self._pending_replies_by_number.pop(
+            decision.request_id
+        )
         reply(
             messages.Document(
                 request_id=request_id,
@@ -124,12 +132,15 @@
                 content=decision.text.encode(),
             )
         )
-        # The connection holds the bytes from here on and bounds them.
+        # The document is now in the outbox of the connection, which has its
+        # own size limit.
         self.feed(events.ServeEnded(request_id=decision.request_id))
 
     @_carry_out.register
     def _(self, decision: decisions.RefuseDocument):
-        reply, request_id = self._replies_by_number.pop(decision.request_id)
+        reply, request_id = self._pending_replies_by_number.pop(
+            decision.request_id
+        )
         reply(messages.DocumentRefusal(request_id=request_id))
 
     async def _read_platform(self, decision):
@@ -164,7 +175,7 @@
                 request_id=number, site=decision.site
             ),
         )
-        if answer is None or not exchange.is_state(answer):
+        if answer is None or not exchange.is_state_answer(answer):
             self.feed(events.StateRequestFailed(vm_id=decision.vm_id))
             return
         self.feed(
@@ -201,7 +212,7 @@
         )
 
     async def _ask(self, vm_id, build_request):
-        """Return a peer's answer, or None where there is none."""
+        """Return the answer of a process, or None if there is none."""
         address = self._find_address(vm_id)
         if not address:
             return None
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/sockets.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/sockets.py
@@ -6,12 +6,13 @@
 
 
 async def bind(address):
-    """Return a UDP socket and a TCP listener with the same port.
+    """Return a UDP socket and a TCP listener on the same port.
 
-    With port 0 the kernel chooses one that is free for both. Raise
-    ``OSError`` where there is none.
+    With port 0, take a port from the kernel that is free for both protocols.
+    Raise ``OSError`` if the address is in use or no such port is found
+    within ``conf.BIND_ATTEMPTS`` attempts.
     """
-    for _ in range(conf.BIND_TRIES):
+    for _ in range(conf.BIND_ATTEMPTS):
         socket = await anyio.create_udp_socket(
             local_host=address.host, local_port=address.port
         )
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/judge.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/validator.py
@@ -1,4 +1,4 @@
-"""Judge configurations and keep the parsed form of the accepted ones."""
+"""Validate configurations and cache the parsed form of accepted ones."""
 
 import collections
 import dataclasses
@@ -7,7 +7,7 @@
 from savoryyoke.configuration import schema
 from savoryyoke.propagation import judgements
 
-KEPT = 4
+CACHE_LIMIT_CONFIGURATIONS = 4
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -22,12 +22,12 @@
 
     @property
     def revision_text(self):
-        """Return the revisions as one word."""
+        """Return the revisions as ``base.overlay``."""
         return f'{self.base_revision}.{self.overlay_revision}'
 
 
-class Judge:
-    """Judge pairs of texts for ``propagation``."""
+class ConfigurationValidator:
+    """Validate a base with its overlay on behalf of the propagation."""
 
     def __init__(self):
         self._configurations_by_digest = collections.OrderedDict()
@@ -39,12 +39,12 @@
             faults = tuple(str(fault) for fault in outcome.faults)
             return judgements.Refused(faults=faults)
         self._configurations_by_digest[outcome.digest] = outcome.configuration
-        while len(self._configurations_by_digest) > KEPT:
+        while len(self._configurations_by_digest) > CACHE_LIMIT_CONFIGURATIONS:
             self._configurations_by_digest.popitem(last=False)
         return judgements.Accepted(digest=outcome.digest)
 
     def build_applied(self, decision):
-        """Return the ``AppliedConfiguration`` of a decision to apply."""
+        """Return the ``AppliedConfiguration`` for an ``Apply`` decision."""
         configuration = self._configurations_by_digest.get(decision.digest)
         if configuration is None:
             outcome = documents.build(
--- a/packages/savoryyoke-edge/savoryyoke_edge/copies.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/copies.py
@@ -1,4 +1,4 @@
-"""Pass the view of published values between processes over TCP."""
+"""Transfer snapshots of the published values between processes over TCP."""
 
 import anyio
 
@@ -8,35 +8,35 @@
 from savoryyoke_wire import fleet
 from savoryyoke_wire import frames
 
-# A copy of some 30 KB crosses the narrowest link in 30 ms.
-COPY_TIMEOUT_S = 1.0
+# A snapshot of about 30 KB takes 30 ms on the slowest link.
+SNAPSHOT_TIMEOUT_S = 1.0
 _RECEIVE_BYTES = 64 * 1024
 
 
 class CopyFailed(Exception):
-    """Report that a copy could not be fetched."""
+    """Report that a snapshot could not be fetched."""
 
 
 async def serve_copy(stream, snapshot):
     """Send a ``published.models.Snapshot`` and close the stream."""
-    packed = fleet.encode_snapshot(snapshot)
+    payload = fleet.encode_snapshot(snapshot)
     try:
-        with anyio.move_on_after(COPY_TIMEOUT_S):
+        with anyio.move_on_after(SNAPSHOT_TIMEOUT_S):
             async with stream:
-                await stream.send(conf.PREFACE + frames.build_frame(packed))
+                await stream.send(conf.PREFACE + frames.build_frame(payload))
     except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
         logs.write_event(
-            'copy_not_sent', level='warning', reason=type(error).__name__
+            'snapshot_not_sent', level='warning', reason=type(error).__name__
         )
 
 
 async def fetch_copy(host, port):
-    """Return the ``published.models.Snapshot`` of a process.
+    """Return the ``published.models.Snapshot`` that a process sends.
 
-    Raise ``CopyFailed``.
+    Raise ``CopyFailed`` if it does not arrive within ``SNAPSHOT_TIMEOUT_S``.
     """
     try:
-        with anyio.fail_after(COPY_TIMEOUT_S):
+        with anyio.fail_after(SNAPSHOT_TIMEOUT_S):
             return await _fetch(host, port)
     except (
         TimeoutError,
@@ -54,7 +54,9 @@
             try:
                 data = await stream.receive(_RECEIVE_BYTES)
             except anyio.EndOfStream as error:
-                raise CopyFailed('ended early') from error
+                raise CopyFailed(
+                    'the connection ended before the snapshot was complete'
+                ) from error
             received = splitter.feed(data)
             if received:
                 return fleet.decode_snapshot(received[0])
--- a/packages/savoryyoke-edge/savoryyoke_edge/crash_reports.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/crash_reports.py
@@ -1,4 +1,4 @@
-"""Translate crash reports between the library and the protocol."""
+"""Convert crash reports between the library and the wire protocol."""
 
 from savoryyoke.quarantine import evidence
 from savoryyoke_wire import conf as wire_conf
@@ -9,11 +9,12 @@
 
 
 def pack(reports):
-    """Return the library's reports, as many as one message may carry.
+    """Return the library's reports as wire messages, newest crashes first.
 
-    The youngest crashes go first.
+    Reports beyond ``CRASH_REPORTS_LIMIT``, the limit of one message, are
+    omitted.
     """
-    youngest = sorted(
+    newest_first = sorted(
         reports, key=lambda report: report.remaining_s, reverse=True
     )
     return tuple(
@@ -23,27 +24,27 @@
             cleared=b''.join(sorted(report.cleared)),
             remaining_ms=int(report.remaining_s * _MS_PER_S),
         )
-        for report in youngest[: wire_conf.CRASH_REPORTS_LIMIT]
+        for report in newest_first[: wire_conf.CRASH_REPORTS_LIMIT]
     )
 
 
 def unpack(reports):
-    """Return the reports of a message for the library."""
+    """Return the wire messages as reports of the library."""
     return tuple(
         evidence.CrashReport(
             crash_id=report.crash_id,
-            fingerprints=_split(report.fingerprints),
-            cleared=_split(report.cleared),
+            fingerprints=_split_digests(report.fingerprints),
+            cleared=_split_digests(report.cleared),
             remaining_s=report.remaining_ms / _MS_PER_S,
         )
         for report in reports
     )
 
 
-def _split(digests):
-    """Return the whole digests that stand one after the other."""
-    whole = len(digests) // _DIGEST_BYTES * _DIGEST_BYTES
+def _split_digests(digests):
+    """Split concatenated digests; drop an incomplete digest at the end."""
+    complete_bytes = len(digests) // _DIGEST_BYTES * _DIGEST_BYTES
     return frozenset(
         digests[start : start + _DIGEST_BYTES]
-        for start in range(0, whole, _DIGEST_BYTES)
+        for start in range(0, complete_bytes, _DIGEST_BYTES)
     )
--- a/packages/savoryyoke-edge/savoryyoke_edge/exceptions.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/exceptions.py
@@ -1,13 +1,13 @@
-"""Errors of the edges that the daemons share."""
+"""Errors of the network and platform code that the daemons share."""
 
 
 class EdgeError(Exception):
-    """Describe a fault at an edge; the base of this layer's errors."""
+    """Serve as the base class of this package's errors."""
 
 
 class ConnectionLost(EdgeError):
-    """Report a connection that ended or was never made."""
+    """Report that a connection ended or could not be opened."""
 
 
 class PlatformUnavailable(EdgeError):
-    """Report that the platform's service gave no usable answer."""
+    """Report that the platform's service returned no usable answer."""
--- a/packages/savoryyoke-edge/savoryyoke_edge/logs.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/logs.py
@@ -1,4 +1,4 @@
-"""Write one line of key=value pairs for each event."""
+"""Log each event as one line of key=value pairs."""
 
 import datetime
 import logging as standard_logging
@@ -15,9 +15,9 @@
 _ESCAPES = {'"': '\\"', '\\': '\\\\', '\n': '\\n', '\r': '\\r', '\t': '\\t'}
 _VALUE_LIMIT_CHARACTERS = 2048
 
-# An entry serves some ten requests a second at today's sizes, with two or
-# three lines each; ten times that still costs below a hundredth of a core.
-LINES_PER_S = 300
+# An entry serves about 10 requests a second and logs 2 or 3 lines for each.
+# This limit is ten times that and costs less than 1 % of a core.
+LINES_PER_S_LIMIT = 300
 
 LEVELS_BY_NAME = {
     'debug': logging.DEBUG,
@@ -28,10 +28,10 @@
 
 
 class LineFormatter(standard_logging.Formatter):
-    """Put time and level before an event, and wrap lines of libraries."""
+    """Prefix lines with time and level; convert messages of libraries."""
 
     def format(self, record):
-        """Return the whole line of a record."""
+        """Return the complete log line of a record."""
         moment = datetime.datetime.fromtimestamp(
             record.created, tz=datetime.UTC
         )
@@ -47,79 +47,84 @@
 
 
 class BoundedStream:
-    """Write lines to a file descriptor without ever waiting for a reader.
+    """Write lines to a file descriptor without blocking on its reader.
 
-    Lines beyond ``lines_per_s``, and those that the descriptor does not
-    take at once, are dropped; the next line that is written tells how many.
+    Lines beyond ``lines_per_s`` are dropped, and so are lines that arrive
+    while a previous line is not fully written. The next line written is
+    preceded by the number of dropped lines.
     """
 
     def __init__(
-        self, descriptor, *, lines_per_s=LINES_PER_S, clock=time.monotonic
+        self,
+        descriptor,
+        *,
+        lines_per_s=LINES_PER_S_LIMIT,
+        clock=time.monotonic,
     ):
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._lines_per_s = lines_per_s
         self._clock = clock
-        self._allowance = float(lines_per_s)
-        self._refilled_s = clock()
-        self._rest = b''
-        self.dropped = 0
+        self._tokens = float(lines_per_s)
+        self._last_refill_s = clock()
+        self._unwritten = b''
+        self.dropped_lines = 0
 
     def write(self, text):
-        """Write ``text``, which ends with its line, or drop it."""
+        """Write ``text`` as one line, or drop it."""
         if not text.strip():
             return
-        if not self._flush_rest() or not self._take_allowance():
-            self.dropped += 1
+        if not self._flush_unwritten() or not self._consume_token():
+            self.dropped_lines += 1
             return
         data = text.encode('utf-8', 'replace')
         if not data.endswith(b'\n'):
             data += b'\n'
-        if self.dropped:
-            line = format_line('lines_dropped', {'lines': self.dropped})
+        if self.dropped_lines:
+            line = format_line('lines_dropped', {'lines': self.dropped_lines})
             data = f'{line}\n'.encode() + data
-            self.dropped = 0
-        self._rest = data
-        self._flush_rest()
+            self.dropped_lines = 0
+        self._unwritten = data
+        self._flush_unwritten()
 
     def flush(self):
-        """Write what is left of a line, as far as the reader takes it."""
-        self._flush_rest()
+        """Write the unwritten rest of a line as far as possible."""
+        self._flush_unwritten()
 
     def close(self):
-        """Write what is left; the descriptor stays open."""
-        self._flush_rest()
+        """Write the unwritten rest; the descriptor stays open."""
+        self._flush_unwritten()
 
-    def _take_allowance(self):
+    def _consume_token(self):
         now_s = self._clock()
-        earned = (now_s - self._refilled_s) * self._lines_per_s
-        self._refilled_s = now_s
-        self._allowance = min(self._allowance + earned, self._lines_per_s)
-        if self._allowance < 1:
+        new_tokens = (now_s - self._last_refill_s) * self._lines_per_s
+        self._last_refill_s = now_s
+        self._tokens = min(self._tokens + new_tokens, self._lines_per_s)
+        if self._tokens < 1:
             return False
-        self._allowance -= 1
+        self._tokens -= 1
         return True
 
-    def _flush_rest(self):
-        """Return whether nothing is left to write."""
-        if not self._rest:
+    def _flush_unwritten(self):
+        """Write as much as possible; return whether nothing remains."""
+        if not self._unwritten:
             return True
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             return False
         except OSError:
-            # The reader is gone, and with it the only place to say so.
-            self._rest = b''
+            # The reader has closed the pipe, so there is nowhere to log this.
+            self._unwritten = b''
             return True
-        self._rest = self._rest[written:]
-        return not self._rest
+        self._unwritten = self._unwritten[written:]
+        return not self._unwritten
 
 
 def set_up(level='info', *, stream=None):
-    """Send the lines to ``stream``, from ``level`` on.
+    """Send log lines of ``level`` and above to ``stream``.
 
-    Without a stream they go to standard error.
+    Without a stream, write them to standard error.
     """
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
@@ -132,15 +137,15 @@
 
 
 def write_event(event, *, level='info', **fields):
-    """Log ``event`` with its fields in the order given."""
-    number = LEVELS_BY_NAME[level]
-    if logging.get_verbosity() < number:
+    """Log ``event`` with its fields in the given order."""
+    severity = LEVELS_BY_NAME[level]
+    if logging.get_verbosity() < severity:
         return
-    logging.log(number, '%s', format_line(event, fields))
+    logging.log(severity, '%s', format_line(event, fields))
 
 
 def write_fault(event, error, **fields):
-    """Log an unexpected error with where it was raised."""
+    """Log an unexpected error with its traceback."""
     trace = ''.join(traceback.format_exception(error))
     write_event(
         event,
@@ -152,10 +157,10 @@
 
 
 def format_line(event, fields):
-    """Return the line for an event.
+    """Return the log line of an event.
 
-    Every value is quoted where it needs it, so that no value can end its
-    line or pass for another field.
+    Values are quoted where necessary, so that no value can contain a line
+    break or be mistaken for another field.
     """
     pairs = [f'event={format_value(event)}']
     pairs.extend(
@@ -165,7 +170,7 @@
 
 
 def format_value(value):
-    """Return one value as text that a parser can split off again."""
+    """Return a value as text, quoted if it is not plain."""
     if isinstance(value, bool):
         return 'true' if value else 'false'
     if isinstance(value, float):
@@ -177,9 +182,9 @@
 
 
 def _escape(character):
-    known = _ESCAPES.get(character)
-    if known is not None:
-        return known
+    escape = _ESCAPES.get(character)
+    if escape is not None:
+        return escape
     if character.isprintable():
         return character
     return f'\\u{{{ord(character):x}}}'
--- a/packages/savoryyoke-edge/savoryyoke_edge/platform.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/platform.py
@@ -1,4 +1,7 @@
-"""Read and watch the platform's service; nothing is ever written there."""
+"""Read and watch values and the VM list of the platform's service.
+
+This module only reads; it never writes to the service.
+"""
 
 import dataclasses
 import json
@@ -8,7 +11,7 @@
 
 from savoryyoke_edge import exceptions
 
-VALUE_LIMIT_BYTES = 1024 * 1024 + 64 * 1024
+ANSWER_LIMIT_BYTES = 1024 * 1024 + 64 * 1024
 CALL_TIMEOUT_S = 5.0
 
 
@@ -23,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Vm:
-    """Hold one row of the platform's list of VMs."""
+    """Describe one VM of the platform's list."""
 
     vm_id: str
     role: str
@@ -37,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class VmList:
-    """Hold the platform's list of VMs, which lags behind reality."""
+    """Hold the platform's list of VMs, which may be out of date."""
 
     sequence: int
     vms: tuple[Vm, ...]
@@ -52,9 +55,11 @@
         self._pool = httpcore.AsyncConnectionPool(max_connections=8)
 
     async def read_value(self, name, *, after_revision=0, wait_s=0.0):
-        """Return the value ``name``, or None where none is newer in time.
+        """Return the value ``name`` if newer than ``after_revision``.
 
-        ``after_revision`` with ``wait_s`` makes the call a waiting watch.
+        With ``wait_s``, the service holds the call open until there is a
+        newer value (long polling). Return None if there is none. Raise
+        ``PlatformUnavailable``.
         """
         path = f'/v1/values/{name}?after={after_revision}&wait_s={wait_s}'
         body = await self._get(path, timeout_s=self._timeout_s + wait_s)
@@ -74,8 +79,9 @@
     async def read_vms(self, *, unless_sequence=None):
         """Return the platform's current ``VmList``.
 
-        Return None where its sequence is ``unless_sequence``: a whole list
-        is large, and it changes but a few times an hour.
+        Return None if its sequence is ``unless_sequence``: a full list is
+        large and changes only a few times an hour. Raise
+        ``PlatformUnavailable``.
         """
         path = '/v1/vms'
         if unless_sequence is not None:
@@ -105,17 +111,21 @@
         except (TimeoutError, OSError, httpcore.TimeoutException) as error:
             raise exceptions.PlatformUnavailable('timeout') from error
         if response.status != 200:
-            raise exceptions.PlatformUnavailable(f'status {response.status}')
+            raise exceptions.PlatformUnavailable(
+                f'the service returned status {response.status}'
+            )
         try:
             return json.loads(body)
         except ValueError as error:
-            raise exceptions.PlatformUnavailable('not JSON') from error
+            raise exceptions.PlatformUnavailable(
+                'the answer is not JSON'
+            ) from error
 
 
 async def _read_limited(response):
     body = bytearray()
-    async for part in response.aiter_stream():
-        body += part
-        if len(body) > VALUE_LIMIT_BYTES:
-            raise exceptions.PlatformUnavailable('the value is too large')
+    async for chunk in response.aiter_stream():
+        body += chunk
+        if len(body) > ANSWER_LIMIT_BYTES:
+            raise exceptions.PlatformUnavailable('the answer is too large')
     return bytes(body)
--- a/packages/savoryyoke-edge/savoryyoke_edge/problems.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/problems.py
@@ -1,6 +1,6 @@
 """Build problem details (RFC 9457) with stable types.
 
-Each type says whether the call ran; ``docs/ref/problems.md`` lists them.
+Each type states whether the call ran; ``docs/ref/problems.md`` lists them.
 """
 
 import dataclasses
@@ -17,7 +17,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ProblemType:
-    """Describe one stable kind of refusal; ``advice`` is for callers."""
+    """Describe one stable type of problem.
+
+    ``outcome`` states whether the call ran. ``advice`` tells callers what to
+    do; it appears only in the reference.
+    """
 
     name: str
     status: int
@@ -34,7 +38,7 @@
             status=400,
             title='The request is malformed.',
             outcome=NOT_RUN,
-            advice='Mend the request; `detail` names the place.',
+            advice='Correct the request; `detail` names the invalid part.',
         ),
         ProblemType(
             name='unknown-team',
@@ -65,35 +69,35 @@
             status=413,
             title='The request is too large.',
             outcome=NOT_RUN,
-            advice='Send less, or let operators raise `--body-limit-bytes`.',
+            advice='Send a smaller body, or raise `--body-limit-bytes`.',
         ),
         ProblemType(
             name='key-reused',
             status=422,
             title='The idempotency key belongs to another request.',
             outcome=NOT_RUN,
-            advice='Use a new key for another request.',
+            advice='Use a new key for each different request.',
         ),
         ProblemType(
             name='binding-required',
             status=428,
             title='The idempotency key carries no binding.',
             outcome=NOT_RUN,
-            advice='Ask the directory, or build the key from `binding`.',
+            advice='Query the directory, or build the key from `binding`.',
         ),
         ProblemType(
             name='limit-exceeded',
             status=429,
             title='The team is over its limit.',
             outcome=NOT_RUN,
-            advice='Come back after `Retry-After`.',
+            advice='Retry after `Retry-After`.',
         ),
         ProblemType(
             name='quarantined',
             status=422,
             title='This request crashes the targets that run it.',
             outcome=NOT_RUN,
-            advice='Do not send it again; have the operators look at it.',
+            advice='Do not retry; report the request to the operators.',
         ),
         ProblemType(
             name='key-expired',
@@ -107,49 +111,49 @@
             status=500,
             title='The entry failed; the call may have run.',
             outcome=MAY_HAVE_RUN,
-            advice='Treat it as may-have-run; operators read the log.',
+            advice='Treat it as `may-have-run`; the log has the cause.',
         ),
         ProblemType(
             name='not-run',
             status=503,
             title='The call was refused and did not run.',
             outcome=NOT_RUN,
-            advice='Come back after `Retry-After`, with the same key.',
+            advice='Retry after `Retry-After`, with the same key.',
         ),
         ProblemType(
             name='not-answered',
             status=503,
             title='The idempotent call got no answer; it may be repeated.',
             outcome=MAY_HAVE_RUN,
-            advice='Repeat it after `Retry-After`; it is idempotent.',
+            advice='Retry after `Retry-After`; the call is idempotent.',
         ),
         ProblemType(
             name='cut-off',
             status=503,
             title='This entry is cut off; use another.',
             outcome=NOT_RUN,
-            advice='Use another entry; `detail` says why.',
+            advice='Use another entry; `detail` gives the reason.',
         ),
         ProblemType(
             name='may-have-run',
             status=504,
             title='The call may have run.',
             outcome=MAY_HAVE_RUN,
-            advice='Repeat it with the same key later, or look the effect up.',
+            advice='Retry later with the same key, or look up the effect.',
         ),
         ProblemType(
             name='answer-gone',
             status=410,
             title='The call ran; its answer is no longer kept.',
             outcome=RAN,
-            advice='The call ran; look its effect up.',
+            advice='Do not retry; look up the effect of the call.',
         ),
         ProblemType(
             name='answer-truncated',
             status=502,
             title='The answer broke off and could not be resumed.',
             outcome=MAY_HAVE_RUN,
-            advice='Repeat it after `Retry-After`; do not use the part.',
+            advice='Discard the partial answer; retry after `Retry-After`.',
         ),
     )
 }
@@ -157,10 +161,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Problem:
-    """Hold one refusal for a caller.
+    """Describe one problem that is returned to a caller.
 
-    ``retry_after_s`` of None says that coming back does not help.
-    ``outcome`` of None takes that of the type.
+    ``name`` is a key of ``PROBLEM_TYPES_BY_NAME``. ``retry_after_s`` is None
+    if a retry does not help. ``outcome`` defaults to that of the type.
     """
 
     name: str
--- a/packages/savoryyoke-edge/savoryyoke_edge/processes.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/processes.py
@@ -1,4 +1,4 @@
-"""Run what every daemon has: its signals and its admin server."""
+"""Run the parts that every daemon has: signal handling and admin server."""
 
 import signal
 
@@ -12,7 +12,7 @@
 
 
 class AdminServer:
-    """Own the listener and the server of a daemon's admin address."""
+    """Own the listener and the HTTP server of a daemon's admin address."""
 
     def __init__(self, *, daemon, settings, registry):
         self._listener = servers.bind(settings.admin_address)
@@ -36,13 +36,13 @@
         await self._server.serve(sockets=[self._listener])
 
     def stop(self):
-        """Let ``run`` return soon."""
+        """Stop the server; ``run`` returns soon after."""
         self._server.should_exit = True
 
 
 async def watch_signals(start_drain):
-    """Call ``start_drain()`` for each signal that asks to stop."""
+    """Call ``start_drain()`` for each SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-        async for received in signals:
-            logs.write_event('signal_received', signal=received.name)
+        async for received_signal in signals:
+            logs.write_event('signal_received', signal=received_signal.name)
             start_drain()
--- a/packages/savoryyoke-edge/savoryyoke_edge/servers.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/servers.py
@@ -8,22 +8,22 @@
 import uvicorn
 from uvicorn.protocols.http import httptools_impl
 
-KEEP_ALIVE_S = 30
-BACKLOG = 512
+IDLE_TIMEOUT_S = 30
+BACKLOG_CONNECTIONS = 512
 
 
 class GuardedProtocol(httptools_impl.HttpToolsProtocol):
     """Close connections whose request headers do not arrive in time.
 
-    It bounds what slow or half-open callers can hold; the application
-    bounds the time of the body itself.
+    This limits the connections that slow or half-open callers can keep
+    open. The application limits the time for the request body.
     """
 
     header_timeout_s = 5.0
     _header_timer = None
 
     def connection_made(self, transport):
-        """Start the timer of the first request."""
+        """Start the header timer of the first request."""
         super().connection_made(transport)
         loop = asyncio.get_running_loop()
         self._header_timer = loop.call_later(
@@ -31,12 +31,12 @@
         )
 
     def connection_lost(self, exc):
-        """Stop the timer with the connection."""
+        """Stop the timer when the connection ends."""
         self._stop_timer()
         super().connection_lost(exc)
 
     def on_message_begin(self):
-        """Start the timer of a later request on the same connection."""
+        """Start the header timer of a later request on the connection."""
         if self._header_timer is None:
             self._header_timer = asyncio.get_running_loop().call_later(
                 self.header_timeout_s, self.transport.close
@@ -44,7 +44,7 @@
         super().on_message_begin()
 
     def on_headers_complete(self):
-        """Stop the timer: the headers are there."""
+        """Stop the timer because the headers are complete."""
         self._stop_timer()
         super().on_headers_complete()
 
@@ -55,24 +55,24 @@
 
 
 class Server(uvicorn.Server):
-    """Run uvicorn without its signal handlers, which the daemon owns."""
+    """Run uvicorn without its signal handlers; the daemon has its own."""
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Leave the signals to the daemon."""
+        """Install no signal handlers."""
         yield
 
 
 def bind(address):
-    """Return a listening-ready TCP socket bound to ``address``."""
-    # asyncio switches Nagle off only where the protocol is named.
+    """Return a listening, non-blocking TCP socket bound to ``address``."""
+    # asyncio sets TCP_NODELAY only on sockets with an explicit protocol.
     listener = socket.socket(
         socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
     )
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((address.host, address.port))
-    # Whoever reads the address in the log may connect at once.
-    listener.listen(BACKLOG)
+    # Clients may connect as soon as the address has been logged.
+    listener.listen(BACKLOG_CONNECTIONS)
     listener.setblocking(False)
     return listener
 
@@ -81,13 +81,15 @@
     application,
     *,
     header_timeout_s,
-    idle_timeout_s=KEEP_ALIVE_S,
+    idle_timeout_s=IDLE_TIMEOUT_S,
     connection_limit=None,
     protocol_class=GuardedProtocol,
 ):
     """Return a server for the ASGI ``application``.
 
-    ``protocol_class`` is a ``GuardedProtocol``.
+    ``header_timeout_s`` and ``idle_timeout_s`` close slow and idle
+    connections; uvicorn answers 503 above ``connection_limit`` connections.
+    ``protocol_class`` is ``GuardedProtocol`` or a subclass of it.
     """
     protocol = type(
         'TimedProtocol',
@@ -105,6 +107,6 @@
         date_header=False,
         timeout_keep_alive=math.ceil(idle_timeout_s),
         limit_concurrency=connection_limit,
-        backlog=BACKLOG,
+        backlog=BACKLOG_CONNECTIONS,
     )
     return Server(config)
--- a/packages/savoryyoke-edge/savoryyoke_edge/settings/__init__.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the processes, read from flags and the environment."""
+"""Settings of the daemons, read from flags and the environment."""
--- a/packages/savoryyoke-edge/savoryyoke_edge/settings/checks.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks that concern more than one setting."""
+"""Checks that involve more than one setting."""
 
 import functools
 
@@ -15,7 +15,7 @@
 
 @functools.singledispatch
 def check(settings):
-    """Return the faults between the fields of valid settings."""
+    """Yield a ``SettingsFault`` for each conflict between valid fields."""
     raise TypeError(f'no checks for {type(settings).__name__}')
 
 
@@ -50,7 +50,8 @@
     yield _fault(
         UNPROTECTED_ADMIN,
         'admin_token',
-        f'anyone who reaches {settings.admin_address} may drain this process',
+        f'anyone who can connect to {settings.admin_address} could drain'
+        ' this process',
         'Set an admin token or listen on a loopback address',
     )
 
@@ -61,14 +62,14 @@
     yield _fault(
         NOT_ADVERTISED,
         name,
-        f'others cannot connect to {bound}',
-        'Advertise the IP number and port that others use',
+        f'other processes cannot connect to {bound}',
+        'Set it to the IP address and port that other processes connect to',
     )
 
 
-def _fault(id_, name, problem, hint):
+def _fault(fault_id, name, problem, hint):
     return exceptions.SettingsFault(
-        id=id_,
+        id=fault_id,
         source='settings',
         name=name,
         problem=problem,
--- a/packages/savoryyoke-edge/savoryyoke_edge/settings/conf.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/settings/conf.py
@@ -1,6 +1,6 @@
-"""Defaults and bounds of the settings, in one place."""
+"""Defaults and bounds of the settings."""
 
-ANY_PORT = '127.0.0.1:0'
+LOOPBACK_ANY_PORT = '127.0.0.1:0'
 DEFAULT_REGION = 'default'
 
 ADDRESS_LIFETIME_S = 2.0
--- a/packages/savoryyoke-edge/savoryyoke_edge/settings/exceptions.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/settings/exceptions.py
@@ -5,10 +5,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SettingsFault:
-    """Describe one thing wrong with the settings of a process.
+    """Describe one fault in the settings of a process.
 
-    ``source`` is ``flag``, ``env`` or ``settings`` (where no single source
-    is at fault). ``name`` is the flag or variable as an operator writes it.
+    ``source`` is ``flag``, ``env``, or ``settings`` if the fault is not in a
+    single flag or variable. ``name`` is the flag, variable or field.
     """
 
     id: str
@@ -19,18 +19,18 @@
 
     def __str__(self):
         """Return the fault as one line."""
-        place = f'{self.id} {self.source} {self.name}'
-        return f'{place}: {self.problem}. {self.hint}.'
+        location = f'{self.id} {self.source} {self.name}'
+        return f'{location}: {self.problem}. {self.hint}.'
 
 
 class SettingsException(Exception):
-    """Root of the errors that this layer raises."""
+    """Serve as the base class of the errors of this package."""
 
 
 class SettingsError(SettingsException):
-    """Report every fault of a set of settings at once."""
+    """Report all faults of a set of settings."""
 
     def __init__(self, *, faults):
-        """Hold ``faults``, a tuple of :class:`SettingsFault`."""
+        """Store ``faults``, an iterable of :class:`SettingsFault`."""
         self.faults = tuple(faults)
         super().__init__('\n'.join(str(fault) for fault in self.faults))
--- a/packages/savoryyoke-edge/savoryyoke_edge/settings/loader.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reading of settings from flags and the environment."""
+"""Load settings from flags and the environment."""
 
 import dataclasses
 import difflib
@@ -10,35 +10,36 @@
 from savoryyoke_edge.settings import checks
 from savoryyoke_edge.settings import exceptions
 
-HIDDEN = '********'
+MASK = '********'
 
 
 class Source(enum.StrEnum):
-    """List where a value of a setting may come from."""
+    """List the sources of a setting's value."""
 
     FLAG = 'flag'
     ENVIRONMENT = 'env'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Origin:
-    """Tell where the value of one field was given."""
+class ValueOrigin:
+    """Hold the source of a field's value and its flag or variable."""
 
     source: Source
     name: str
 
 
 def load(model, *, flags, environ):
-    """Return the frozen settings that ``flags`` and ``environ`` describe.
+    """Return the settings from ``flags`` and ``environ``, frozen.
 
-    ``flags`` maps field names to values and goes before ``environ``, a
-    mapping of variables. Raise ``SettingsError`` with every fault.
+    ``model`` is a subclass of ``schema.ProcessSettings``. ``flags`` maps
+    field names to values and overrides ``environ``, which maps environment
+    variables to values. Raise ``SettingsError`` with all faults.
     """
-    values, origins, faults = _collect(model, flags, environ)
+    values, origins, faults = _collect_values(model, flags, environ)
     try:
         settings = model(**values)
     except pydantic.ValidationError as error:
-        faults.extend(_translate(model, error, values, origins))
+        faults.extend(_build_faults(model, error, values, origins))
         raise exceptions.SettingsError(faults=faults) from None
     faults.extend(checks.check(settings))
     if faults:
@@ -64,7 +65,7 @@
     return model.prefix + field.upper()
 
 
-def _collect(model, flags, environ):
+def _collect_values(model, flags, environ):
     values = {}
     origins = {}
     faults = []
@@ -72,82 +73,86 @@
         if not variable.upper().startswith(model.prefix):
             continue
         field = variable[len(model.prefix) :].lower()
-        if variable != variable_name(model, field) or not _has(model, field):
-            faults.append(_unknown_variable(model, variable))
+        if variable != variable_name(model, field) or not _has_field(
+            model, field
+        ):
+            faults.append(_build_unknown_variable_fault(model, variable))
             continue
         values[field] = str(value)
-        origins[field] = Origin(source=Source.ENVIRONMENT, name=variable)
+        origins[field] = ValueOrigin(source=Source.ENVIRONMENT, name=variable)
     for flag, value in flags.items():
         field = flag.replace('-', '_')
-        if not _has(model, field):
-            faults.append(_unknown_flag(model, field))
+        if not _has_field(model, field):
+            faults.append(_build_unknown_flag_fault(model, field))
             continue
         values[field] = str(value)
-        origins[field] = Origin(source=Source.FLAG, name=flag_name(field))
+        origins[field] = ValueOrigin(source=Source.FLAG, name=flag_name(field))
     return values, origins, faults
 
 
-def _has(model, field):
+def _has_field(model, field):
     return field in model.model_fields
 
 
-def _unknown_flag(model, field):
-    known = [flag_name(name) for name in model.model_fields]
+def _build_unknown_flag_fault(model, field):
+    valid_names = [flag_name(name) for name in model.model_fields]
     return exceptions.SettingsFault(
         id=checks.UNKNOWN_FLAG,
         source=Source.FLAG.value,
         name=flag_name(field),
         problem='there is no such flag',
-        hint=_suggest(flag_name(field), known, '--help lists the flags'),
+        hint=_suggest(flag_name(field), valid_names, '--help lists the flags'),
     )
 
 
-def _unknown_variable(model, variable):
-    known = [variable_name(model, name) for name in model.model_fields]
+def _build_unknown_variable_fault(model, variable):
+    valid_names = [variable_name(model, name) for name in model.model_fields]
     return exceptions.SettingsFault(
         id=checks.UNKNOWN_VARIABLE,
         source=Source.ENVIRONMENT.value,
         name=variable,
         problem='there is no such variable',
-        hint=_suggest(variable.upper(), known, 'unset it'),
+        hint=_suggest(variable.upper(), valid_names, 'unset it'),
     )
 
 
-def _suggest(name, known, otherwise):
-    matches = difflib.get_close_matches(name, known, n=1)
+def _suggest(name, valid_names, default_hint):
+    matches = difflib.get_close_matches(name, valid_names, n=1)
     if matches:
         return f'Did you mean {matches[0]}'
-    return otherwise[:1].upper() + otherwise[1:]
+    return default_hint[:1].upper() + default_hint[1:]
 
 
-def _translate(model, error, values, origins):
+def _build_faults(model, error, values, origins):
     for detail in error.errors(include_url=False, include_context=False):
         field = str(detail['loc'][0])
         if field not in values:
-            yield _missing(model, field)
+            yield _build_missing_fault(model, field)
             continue
         yield exceptions.SettingsFault(
             id=checks.INVALID,
             source=origins[field].source.value,
             name=origins[field].name,
-            problem=_problem(model, field, values[field], detail['msg']),
+            problem=_describe_problem(
+                model, field, values[field], detail['msg']
+            ),
             hint=f'Expected: {model.model_fields[field].description[:-1]}',
         )
 
 
-def _missing(model, field):
+def _build_missing_fault(model, field):
     return exceptions.SettingsFault(
         id=checks.MISSING,
         source='settings',
         name=flag_name(field),
-        problem='it is required and has no value',
-        hint=f'Give {flag_name(field)} or {variable_name(model, field)}',
+        problem='it is required, but has no value',
+        hint=f'Set {flag_name(field)} or {variable_name(model, field)}',
     )
 
 
-def _problem(model, field, value, message):
-    shown = HIDDEN if _is_secret(model, field) else repr(value)
-    return f'{shown}: {message.removeprefix("Value error, ")}'
+def _describe_problem(model, field, value, message):
+    displayed = MASK if _is_secret(model, field) else repr(value)
+    return f'{displayed}: {message.removeprefix("Value error, ")}'
 
 
 def _is_secret(model, field):
@@ -159,7 +164,7 @@
     if value is None:
         return ''
     if isinstance(value, pydantic.SecretStr):
-        return HIDDEN
+        return MASK
     if isinstance(value, enum.Enum):
         return value.value
     return str(value)
--- a/packages/savoryyoke-edge/savoryyoke_edge/settings/meanings.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/settings/meanings.py
@@ -1,4 +1,4 @@
-"""What each identifier of a fault means, for the reference."""
+"""Meanings of the fault identifiers, for the reference pages."""
 
 from savoryyoke_edge.settings import checks
 
@@ -7,6 +7,6 @@
     checks.UNKNOWN_VARIABLE: 'There is no such environment variable.',
     checks.MISSING: 'A required setting has no value.',
     checks.INVALID: 'A value has the wrong form or is out of bounds.',
-    checks.NOT_ADVERTISED: 'Others could not connect to the address.',
-    checks.UNPROTECTED_ADMIN: 'Anyone could drain the process.',
+    checks.NOT_ADVERTISED: 'Other processes could not connect to the address.',
+    checks.UNPROTECTED_ADMIN: 'Draining the process would need no token.',
 }
--- a/packages/savoryyoke-edge/savoryyoke_edge/settings/schema.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/settings/schema.py
@@ -31,7 +31,7 @@
 
 
 class LogLevel(enum.StrEnum):
-    """List the levels of the log, quietest first."""
+    """List the log levels, most severe first."""
 
     ERROR = 'error'
     WARNING = 'warning'
@@ -40,14 +40,14 @@
 
 
 class BackendKind(enum.StrEnum):
-    """List what a target process may stand in front of."""
+    """List the kinds of back ends of a target process."""
 
     ENGINE = 'engine'
     APPLICATION = 'application'
 
 
 class ProcessSettings(pydantic.BaseModel):
-    """Hold what the settings of both processes have in common."""
+    """Hold the settings that entries and targets have in common."""
 
     model_config = pydantic.ConfigDict(
         extra='forbid', frozen=True, validate_default=True
@@ -55,23 +55,23 @@
     prefix: ClassVar[str]
 
     vm_id: Identifier = pydantic.Field(
-        description='Identifier of the VM, as the list of VMs names it.'
+        description='Identifier of the VM in the list of VMs.'
     )
     data_centre: Identifier = pydantic.Field(
-        description='Data centre that the VM stands in.'
+        description='Data centre of the VM.'
     )
     region: Identifier = pydantic.Field(
         default=conf.DEFAULT_REGION,
-        description='Region that the data centre belongs to.',
+        description='Region of the data centre.',
     )
     site: Identifier = pydantic.Field(
-        description="Site whose overlay of the operators' file applies."
+        description="Site; its overlay of the operators' file applies."
     )
     platform_url: Url = pydantic.Field(
         description='URL of the configuration service, http://host:port.'
     )
     admin_address: ListenAddress = pydantic.Field(
-        default=conf.ANY_PORT,
+        default=conf.LOOPBACK_ANY_PORT,
         description=(
             'Address for status, drain, metrics and health checks, host:port.'
         ),
@@ -80,12 +80,12 @@
         default=None,
         min_length=1,
         description=(
-            'Bearer token that a drain must carry; required where the admin'
-            ' address is not a loopback address.'
+            'Bearer token that drain requests must carry; required if the'
+            ' admin address is not a loopback address.'
         ),
     )
     control_address: ListenAddress = pydantic.Field(
-        default=conf.ANY_PORT,
+        default=conf.LOOPBACK_ANY_PORT,
         description=(
             'UDP and TCP address for messages between all processes,'
             ' host:port; port 0 lets the kernel choose.'
@@ -94,7 +94,7 @@
     advertised_control_address: PeerAddress | None = pydantic.Field(
         default=None,
         description=(
-            'Control address that other processes are told to use,'
+            'Control address that is advertised to other processes,'
             ' host:port; unset means the bound address.'
         ),
     )
@@ -105,21 +105,21 @@
     drain_timeout_s: Timeout = pydantic.Field(
         default=conf.DRAIN_TIMEOUT_S,
         description=(
-            'Time in seconds that a planned stop waits for requests in flight.'
+            'Time in seconds that a drain waits for requests in flight.'
         ),
     )
     platform_timeout_s: Timeout = pydantic.Field(
         default=conf.PLATFORM_TIMEOUT_S,
         description=(
-            'Time in seconds that one call of the configuration service may'
-            ' take, beyond the wait that a watch asks for.'
+            'Time limit in seconds for one call to the configuration service,'
+            ' in addition to the wait time of a watch.'
         ),
     )
     seed: int | None = pydantic.Field(
         default=None,
         ge=0,
         description=(
-            'Seed of the random generator; unset draws one at the start.'
+            'Seed of the random generator; unset means a random seed.'
         ),
     )
 
@@ -130,50 +130,50 @@
     prefix: ClassVar[str] = 'SAVORYYOKE_ENTRY_'
 
     listen_address: ListenAddress = pydantic.Field(
-        default=conf.ANY_PORT,
-        description="Address for callers' HTTP, host:port; port 0 lets the"
-        ' kernel choose.',
+        default=conf.LOOPBACK_ANY_PORT,
+        description="Address for callers' HTTP requests, host:port; port 0"
+        ' lets the kernel choose.',
     )
     advertised_address: PeerAddress | None = pydantic.Field(
         default=None,
         description=(
-            'Address that callers are told to use, host:port; unset means the'
-            ' bound address.'
+            'Address that is advertised to callers, host:port; unset means'
+            ' the bound address.'
         ),
     )
     connect_timeout_s: Timeout = pydantic.Field(
         default=conf.CONNECT_TIMEOUT_S,
-        description='Time in seconds that connecting to a target may take.',
+        description='Time limit in seconds for connecting to a target.',
     )
     header_timeout_s: Timeout = pydantic.Field(
         default=conf.HEADER_TIMEOUT_S,
         description=(
-            'Time in seconds that a caller may take to send its headers.'
+            'Time limit in seconds for a caller to send its request headers.'
         ),
     )
     idle_timeout_s: Timeout = pydantic.Field(
         default=conf.IDLE_TIMEOUT_S,
         description=(
-            "Time in seconds that a caller's idle connection is kept open."
+            "Time in seconds after which a caller's idle connection is closed."
         ),
     )
     body_limit_bytes: int = pydantic.Field(
         default=conf.BODY_LIMIT_BYTES,
         gt=0,
         le=conf.BODY_LIMIT_MAXIMUM_BYTES,
-        description='Largest request body in bytes; a larger one is refused.',
+        description='Largest request body in bytes; larger ones are refused.',
     )
     connection_limit: int = pydantic.Field(
         default=conf.CONNECTION_LIMIT,
         gt=0,
         le=conf.CONNECTION_LIMIT_MAXIMUM,
-        description="Largest number of callers' connections open at once.",
+        description="Largest number of open connections of callers.",
     )
     address_lifetime_s: Timeout = pydantic.Field(
         default=conf.ADDRESS_LIFETIME_S,
         description=(
-            'Time in seconds that a caller may keep the address that it was'
-            ' told.'
+            'Time in seconds for which a caller may cache an advertised'
+            ' address.'
         ),
     )
 
@@ -190,44 +190,42 @@
         description='Identifier of the target, unique in the fleet.'
     )
     listen_address: ListenAddress = pydantic.Field(
-        default=conf.ANY_PORT,
-        description='TCP address for entries, host:port; port 0 lets the'
-        ' kernel choose.',
+        default=conf.LOOPBACK_ANY_PORT,
+        description='TCP address for connections of entries, host:port; port 0'
+        ' lets the kernel choose.',
     )
     heartbeat_period_s: Period = pydantic.Field(
         default=conf.HEARTBEAT_PERIOD_S,
-        description='Time in seconds between two load reports to an entry.',
+        description='Period in seconds of the load reports to each entry.',
     )
     backend_url: Url = pydantic.Field(
         description='URL of the engine or application, http://host:port.'
     )
     backend_kind: BackendKind = pydantic.Field(
-        description='What stands behind the target: engine or application.'
+        description='Kind of the back end: engine or application.'
     )
     backend_timeout_s: Timeout = pydantic.Field(
         default=conf.BACKEND_TIMEOUT_S,
         description=(
-            'Time in seconds that a call of the back end may take where the'
-            " operators' file gives none."
+            'Time limit in seconds for a call to the back end if the'
+            " operators' file sets none."
         ),
     )
     connect_timeout_s: Timeout = pydantic.Field(
         default=conf.CONNECT_TIMEOUT_S,
-        description=(
-            'Time in seconds that connecting to the back end may take.'
-        ),
+        description=('Time limit in seconds for connecting to the back end.'),
     )
     ledger_limit_records: int = pydantic.Field(
         default=conf.LEDGER_LIMIT_RECORDS,
         gt=0,
         le=conf.LEDGER_LIMIT_MAXIMUM_RECORDS,
         description=(
-            'Largest number of non-idempotent calls that are remembered.'
+            'Largest number of non-idempotent calls that are recorded.'
         ),
     )
     body_limit_bytes: int = pydantic.Field(
         default=conf.BODY_LIMIT_BYTES,
         gt=0,
         le=conf.BODY_LIMIT_MAXIMUM_BYTES,
-        description='Largest answer in bytes of a call that is not streamed.',
+        description='Largest response body in bytes if it is not streamed.',
     )
--- a/packages/savoryyoke-edge/savoryyoke_edge/supervision.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/supervision.py
@@ -1,18 +1,18 @@
-"""Keep a process's tasks running when one decision of theirs fails."""
+"""Restart tasks of a process that fail with an unexpected error."""
 
 import anyio
 
 from savoryyoke_edge import logs
 
-# A task that fails at once each time writes two lines a second.
-_PAUSE_S = 0.5
+# Limits a task that always fails at once to two log lines a second.
+_RESTART_DELAY_S = 0.5
 
 
 async def keep_running(task):
-    """Run ``task()``; log an unexpected error and begin it again.
+    """Run ``task()``; log an unexpected error and start it again.
 
-    Return when it ends by itself. A process that ends instead takes its
-    whole state and all its requests along.
+    Return when the task returns. Ending the process instead would lose its
+    state and all its requests.
     """
     while True:
         try:
@@ -20,4 +20,4 @@
             return
         except Exception as error:
             logs.write_fault('task_failed', error, task=task.__qualname__)
-        await anyio.sleep(_PAUSE_S)
+        await anyio.sleep(_RESTART_DELAY_S)
--- a/packages/savoryyoke-edge/tests/settings/test_loader.py
+++ b/packages/savoryyoke-edge/tests/settings/test_loader.py
@@ -1,4 +1,4 @@
-"""Tests of how settings are read, checked and shown."""
+"""Tests of the loading, checking and rendering of settings."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 def load_entry(*, environ=None, **flags):
-    """Load entry settings from the required flags and ``flags``."""
+    """Load entry settings from the required flags plus ``flags``."""
     return loader.load(
         schema.EntrySettings,
         flags={**ENTRY_FLAGS, **flags},
@@ -35,9 +35,9 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Test where a value comes from."""
+    """Test the sources and the parsing of values."""
 
-    def test_flag_goes_before_variable(self):
+    def test_flag_overrides_variable(self):
         environ = {
             'SAVORYYOKE_ENTRY_DRAIN_TIMEOUT_S': '7',
             'SAVORYYOKE_ENTRY_HEADER_TIMEOUT_S': '8',
@@ -70,14 +70,14 @@
 
 
 class FaultTest(unittest.TestCase):
-    """Test that every fault is reported, at once and with its place."""
+    """Test that all faults are reported together, each with its source."""
 
-    def assert_fault(self, id_, name, *, environ=None, **flags):
-        """Assert that one fault with ``id_`` names ``name``; return it."""
+    def assert_fault(self, fault_id, name, *, environ=None, **flags):
+        """Assert that ``fault_id`` is the only fault, and return it."""
         with self.assertRaises(exceptions.SettingsError) as caught:
             load_entry(environ=environ, **flags)
         (fault,) = caught.exception.faults
-        self.assertEqual((fault.id, fault.name), (id_, name))
+        self.assertEqual((fault.id, fault.name), (fault_id, name))
         self.assertEqual(len(str(fault).splitlines()), 1)
         return fault
 
@@ -145,7 +145,7 @@
 
 
 class RenderTest(unittest.TestCase):
-    """Test what ``--print-settings`` shows."""
+    """Test the output of ``--print-settings``."""
 
     def test_secret_is_masked(self):
         text = loader.render(load_entry(admin_token='hunter2'))
--- a/packages/savoryyoke-edge/tests/test_gossip.py
+++ b/packages/savoryyoke-edge/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Test the sending of membership's datagrams."""
+"""Test the sending of membership datagrams."""
 
 import socket
 import types
@@ -12,11 +12,11 @@
 
 
 class GossipTests(unittest.IsolatedAsyncioTestCase):
-    async def test_last_message_goes_beside_those_on_their_way(self):
+    async def test_flush_during_a_send_loses_no_datagrams(self):
         async with await anyio.create_udp_socket(
             family=socket.AF_INET, local_host='127.0.0.1'
-        ) as own:
-            port = own.extra(anyio.abc.SocketAttribute.local_port)
+        ) as udp_socket:
+            port = udp_socket.extra(anyio.abc.SocketAttribute.local_port)
             send = decisions.Send(
                 address=f'127.0.0.1:{port}',
                 message=messages.Ack(
@@ -31,25 +31,25 @@
             membership = types.SimpleNamespace(
                 apply=lambda event, now_s: [] if event else [send] * 3
             )
-            gossiping = gossip.Gossip(
-                socket=own,
+            sender = gossip.Gossip(
+                socket=udp_socket,
                 membership=membership,
                 clock=anyio.current_time,
                 tick_s=60.0,
                 on_decision=None,
             )
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(gossiping.run)
+                tasks.start_soon(sender.run)
                 await anyio.sleep(0.01)
-                gossiping.feed(None)
-                # The sending task is in the midst of these.
+                sender.feed(None)
+                # The sending task has started to send these.
                 await anyio.lowlevel.checkpoint()
-                gossiping.feed(None)
-                await gossiping.flush()
+                sender.feed(None)
+                await sender.flush()
                 tasks.cancel_scope.cancel()
-        self.assertEqual(6, gossiping.sent_bytes / self.size(send))
+        self.assertEqual(6, sender.sent_bytes / self.size(send))
 
     @staticmethod
     def size(send):
-        """Return the bytes of a datagram."""
+        """Return the size in bytes of the datagram of ``send``."""
         return len(gossip.gossip.encode(send.message))
--- a/packages/savoryyoke-edge/tests/test_logs.py
+++ b/packages/savoryyoke-edge/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Test that logging is bounded and never waits."""
+"""Test that logging is rate-limited and never blocks."""
 
 import os
 import unittest
@@ -47,15 +47,15 @@
         line = 'x' * 1000 + '\n'
         for _ in range(200):
             stream.write(line)
-        self.assertGreater(stream.dropped, 0)
-        whole = self.read()
+        self.assertGreater(stream.dropped_lines, 0)
+        received = self.read()
         stream.flush()
-        whole += self.read()
-        self.assertEqual({1000}, {len(x) for x in whole.splitlines()})
+        received += self.read()
+        self.assertEqual({1000}, {len(row) for row in received.splitlines()})
         stream.write('event=after\n')
         self.assertTrue(self.read().endswith(b'event=after\n'))
 
-    def test_reader_that_is_gone_costs_nothing(self):
+    def test_closed_reader_raises_no_error(self):
         reader, writer = os.pipe()
         os.close(reader)
         stream = logs.BoundedStream(writer)
