--- a/packages/savoryyoke-agent/savoryyoke_agent/exchange.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/exchange.py
@@ -107,7 +107,7 @@
             self._receive(message)
         except Exception as error:
             # One message must not end the process.
-            logs.write_fault(
+            logs.write_exception(
                 'message_failed',
                 error,
                 host=host,
--- a/packages/savoryyoke-agent/savoryyoke_agent/membership.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/membership.py
@@ -53,10 +53,10 @@
         for _ in self._settings.seed_hosts:
             host = next(self._seeds)
             try:
-                snapshot = await copies.fetch_copy(
+                snapshot = await copies.fetch_snapshot(
                     host, self._settings.peer_port
                 )
-            except copies.CopyFailed as error:
+            except copies.SnapshotUnavailable as error:
                 logs.write_event(
                     'copy_failed',
                     level='warning',
--- a/packages/savoryyoke-agent/tests/support.py
+++ b/packages/savoryyoke-agent/tests/support.py
@@ -174,7 +174,7 @@
     empty = published_models.Snapshot(as_of=1, items=())
 
     async def handle(stream):
-        await copies.serve_copy(stream, empty)
+        await copies.send_snapshot(stream, empty)
 
     async with listener:
         await listener.serve(handle)
--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/results.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/results.py
@@ -8,7 +8,7 @@
     """List the exit statuses of the binaries."""
 
     OK = 0
-    NO = 1
+    NEGATIVE = 1
     USAGE = 2
     UNREACHABLE = 3
     REFUSED = 4
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/exchange.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/exchange.py
@@ -50,7 +50,7 @@
             lambda message: self._on_request(message, reply), early_messages
         )
 
-    async def ask(self, address, build_request):
+    async def send_request(self, address, build_request):
         """Return the answer of the peer at ``address`` to one request.
 
         ``address`` is ``host:port`` as text. ``build_request(request_id)``
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/plane.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/plane.py
@@ -40,8 +40,8 @@
 
     ``role`` is ``ENTRY`` or ``TARGET``; ``reader`` is a
     ``platform.PlatformReader``; ``clock()`` returns monotonic seconds.
-    ``owner`` receives the callbacks ``on_applied(applied)``,
-    ``on_vms(vm_list)``, ``on_member(decision)`` and
+    ``owner`` receives the callbacks ``on_configuration_applied(applied)``,
+    ``on_vm_list(vm_list)``, ``on_member_changed(decision)`` and
     ``on_attachments(vm_id, attachments)``. The owner in an entry also has
     ``answer_loan(request)``, which returns the answer to a loan request.
     """
@@ -62,7 +62,7 @@
         self.applied = None
         self.vm_list = None
         self._vm_sequence = None
-        self.reports = 0
+        self.report_count = 0
         self.refused_revisions = ()
 
     @property
@@ -156,7 +156,7 @@
         self._gossip.feed(membership_events.Stopped())
         await self._gossip.flush()
 
-    def attach(self, attachments):
+    def set_attachments(self, attachments):
         """Set the attachments that outgoing membership messages carry."""
         self._gossip.feed(
             membership_events.AttachmentsChanged(attachments=attachments)
@@ -171,11 +171,11 @@
             digest=self.applied.digest,
             confirmed=self.applied.confirmed,
         )
-        self._owner.on_applied(self.applied)
+        self._owner.on_configuration_applied(self.applied)
 
     def report(self, report):
         """Log and count a fault in a document that was read or received."""
-        self.reports += 1
+        self.report_count += 1
         if report.kind.value == 'refused':
             self.refused_revisions = (
                 *self.refused_revisions[-7:],
@@ -197,7 +197,7 @@
         member = self.membership.member(vm_id)
         return member.address if member is not None else None
 
-    async def ask(self, vm_id, build_request):
+    async def send_request(self, vm_id, build_request):
         """Return the answer of process ``vm_id`` to one request.
 
         ``build_request(request_id)`` returns the request message. Raise
@@ -208,7 +208,7 @@
             raise exceptions.ConnectionLost(
                 f'{vm_id} has no known control address'
             )
-        return await self._exchange.ask(address, build_request)
+        return await self._exchange.send_request(address, build_request)
 
     def _answer_request(self, request, reply):
         if isinstance(request, messages.LoanRequest):
@@ -273,7 +273,7 @@
         logs.write_event(
             'vm_list_applied', sequence=vm_list.sequence, vms=len(vm_list.vms)
         )
-        self._owner.on_vms(vm_list)
+        self._owner.on_vm_list(vm_list)
 
     @functools.singledispatchmethod
     def _carry_out(self, decision):
@@ -283,7 +283,7 @@
             vm=decision.vm_id,
             incarnation=f'{decision.incarnation:016x}',
         )
-        self._owner.on_member(decision)
+        self._owner.on_member_changed(decision)
         self._update_peers()
 
     @_carry_out.register
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/propagation_driver.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/propagation_driver.py
@@ -217,7 +217,7 @@
         if not address:
             return None
         try:
-            return await self._exchange.ask(address, build_request)
+            return await self._exchange.send_request(address, build_request)
         except exceptions.ConnectionLost as error:
             logs.write_event(
                 'exchange_failed', level='debug', vm=vm_id, reason=str(error)
--- a/packages/savoryyoke-edge/savoryyoke_edge/copies.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/copies.py
@@ -13,11 +13,11 @@
 _RECEIVE_BYTES = 64 * 1024
 
 
-class CopyFailed(Exception):
+class SnapshotUnavailable(Exception):
     """Report that a snapshot could not be fetched."""
 
 
-async def serve_copy(stream, snapshot):
+async def send_snapshot(stream, snapshot):
     """Send a ``published.models.Snapshot`` and close the stream."""
     payload = fleet.encode_snapshot(snapshot)
     try:
@@ -30,10 +30,11 @@
         )
 
 
-async def fetch_copy(host, port):
+async def fetch_snapshot(host, port):
     """Return the ``published.models.Snapshot`` that a process sends.
 
-    Raise ``CopyFailed`` if it does not arrive within ``SNAPSHOT_TIMEOUT_S``.
+    Raise ``SnapshotUnavailable`` if none arrives within
+    ``SNAPSHOT_TIMEOUT_S``.
     """
     try:
         with anyio.fail_after(SNAPSHOT_TIMEOUT_S):
@@ -44,7 +45,9 @@
         anyio.BrokenResourceError,
         exceptions.WireError,
     ) as error:
-        raise CopyFailed(str(error) or type(error).__name__) from error
+        raise SnapshotUnavailable(
+            str(error) or type(error).__name__
+        ) from error
 
 
 async def _fetch(host, port):
@@ -54,7 +57,7 @@
             try:
                 data = await stream.receive(_RECEIVE_BYTES)
             except anyio.EndOfStream as error:
-                raise CopyFailed(
+                raise SnapshotUnavailable(
                     'the connection ended before the snapshot was complete'
                 ) from error
             received = splitter.feed(data)
--- a/packages/savoryyoke-edge/savoryyoke_edge/logs.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/logs.py
@@ -144,7 +144,7 @@
     logging.log(severity, '%s', format_line(event, fields))
 
 
-def write_fault(event, error, **fields):
+def write_exception(event, error, **fields):
     """Log an unexpected error with its traceback."""
     trace = ''.join(traceback.format_exception(error))
     write_event(
--- a/packages/savoryyoke-edge/savoryyoke_edge/servers.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/servers.py
@@ -12,7 +12,7 @@
 BACKLOG_CONNECTIONS = 512
 
 
-class GuardedProtocol(httptools_impl.HttpToolsProtocol):
+class HeaderTimeoutProtocol(httptools_impl.HttpToolsProtocol):
     """Close connections whose request headers do not arrive in time.
 
     This limits the connections that slow or half-open callers can keep
@@ -83,13 +83,13 @@
     header_timeout_s,
     idle_timeout_s=IDLE_TIMEOUT_S,
     connection_limit=None,
-    protocol_class=GuardedProtocol,
+    protocol_class=HeaderTimeoutProtocol,
 ):
     """Return a server for the ASGI ``application``.
 
     ``header_timeout_s`` and ``idle_timeout_s`` close slow and idle
     connections; uvicorn answers 503 above ``connection_limit`` connections.
-    ``protocol_class`` is ``GuardedProtocol`` or a subclass of it.
+    ``protocol_class`` is ``HeaderTimeoutProtocol`` or a subclass of it.
     """
     protocol = type(
         'TimedProtocol',
--- a/packages/savoryyoke-edge/savoryyoke_edge/supervision.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/supervision.py
@@ -19,5 +19,5 @@
             await task()
             return
         except Exception as error:
-            logs.write_fault('task_failed', error, task=task.__qualname__)
+            logs.write_exception('task_failed', error, task=task.__qualname__)
         await anyio.sleep(_RESTART_DELAY_S)
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/check.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/check.py
@@ -24,7 +24,7 @@
         problems.extend(
             files.describe(outcome.faults, base=base, overlay=overlay)
         )
-    status = results.ExitStatus.NO if problems else 0
+    status = results.ExitStatus.NEGATIVE if problems else 0
     return results.Result(
         lines=tuple(lines),
         # A fault of the base comes up again with each overlay.
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/diff.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/diff.py
@@ -31,7 +31,7 @@
             dict(_flatten(documents.to_plain(new.configuration))),
         )
     )
-    status = results.ExitStatus.NO if lines else 0
+    status = results.ExitStatus.NEGATIVE if lines else 0
     return results.Result(lines=lines, status=results.ExitStatus(status))
 
 
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/explain.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/explain.py
@@ -44,12 +44,12 @@
         *_describe_data_centres(configuration),
     )
     refused = not route.operation.idempotent and not key
-    status = results.ExitStatus.NO if refused else 0
+    status = results.ExitStatus.NEGATIVE if refused else 0
     return results.Result(lines=lines, status=results.ExitStatus(status))
 
 
 def _refuse(line):
-    return results.Result(lines=(line,), status=results.ExitStatus.NO)
+    return results.Result(lines=(line,), status=results.ExitStatus.NEGATIVE)
 
 
 def _describe_no_route(route, method, path):
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/files.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/files.py
@@ -49,5 +49,5 @@
         return outcome
     return results.Result(
         problems=tuple(describe(outcome.faults, base=base, overlay=overlay)),
-        status=results.ExitStatus.NO,
+        status=results.ExitStatus.NEGATIVE,
     )
--- a/packages/savoryyoke-entry/savoryyoke_entry/daemon.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/daemon.py
@@ -198,7 +198,7 @@
         await self._plane.bind()
         self._announce(listener, admin_server)
         tasks.start_soon(self._plane.run)
-        tasks.start_soon(self.team_limiter.run, self._plane.ask)
+        tasks.start_soon(self.team_limiter.run, self._plane.send_request)
         tasks.start_soon(self._directory.run, self._plane.membership)
         tasks.start_soon(self._watch_pauses)
         tasks.start_soon(processes.watch_signals, self.start_drain)
@@ -230,13 +230,13 @@
             data_centre=self._settings.data_centre,
         )
 
-    def on_vms(self, vm_list):
+    def on_vm_list(self, vm_list):
         """Follow the platform's list of VMs."""
         self.team_limiter.take_vms(vm_list)
         self.fleet.apply_vms(vm_list)
         self._directory.take_vms(vm_list)
 
-    def on_member(self, decision):
+    def on_member_changed(self, decision):
         """Follow a change of a member."""
         self.fleet.apply_member(decision)
 
@@ -247,7 +247,7 @@
     def on_attachments(self, vm_id, attachments):
         """Take payloads of another process."""
 
-    def on_applied(self, applied):
+    def on_configuration_applied(self, applied):
         """Follow the configuration in force."""
         configuration = applied.configuration
         self._table = routes.RouteTable(configuration=configuration)
--- a/packages/savoryyoke-entry/savoryyoke_entry/metrics.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/metrics.py
@@ -44,7 +44,7 @@
             ),
             'savoryyoke_entry_configuration_reports': (
                 'Faults found in configurations since the start.',
-                lambda: plane.reports,
+                lambda: plane.report_count,
             ),
             'savoryyoke_entry_control_sent_bytes': (
                 'Bytes of control datagrams sent since the start.',
--- a/packages/savoryyoke-entry/tests/commands/test_command_line.py
+++ b/packages/savoryyoke-entry/tests/commands/test_command_line.py
@@ -128,7 +128,10 @@
     def test_statuses_and_no_traceback(self):
         cases = (
             (('check', console.FUND), STATUS.OK),
-            (('check', console.FUND.with_name('prague.yaml')), STATUS.NO),
+            (
+                ('check', console.FUND.with_name('prague.yaml')),
+                STATUS.NEGATIVE,
+            ),
             (('run', '--nonsense=1'), STATUS.USAGE),
             (('drain', '127.0.0.1:1'), STATUS.UNREACHABLE),
         )
--- a/packages/savoryyoke-entry/tests/commands/test_files.py
+++ b/packages/savoryyoke-entry/tests/commands/test_files.py
@@ -47,7 +47,7 @@
         base = self.write('base.yaml', text)
         overlay = self.write('site.yaml', 'teams:\n  refunds: {weihgt: 1}\n')
         run = console.run('check', base, overlay)
-        self.assertEqual(run.status, STATUS.NO)
+        self.assertEqual(run.status, STATUS.NEGATIVE)
         lines = run.errors.splitlines()
         self.assertEqual(len(lines), 3)
         self.assertTrue(
@@ -82,7 +82,7 @@
         text = text.replace('  refunds:\n    weight: 2\n', '')
         new = self.write('new.yaml', text)
         run = console.run('diff', console.FUND, new, '--overlay', PRAGUE)
-        self.assertEqual(run.status, STATUS.NO)
+        self.assertEqual(run.status, STATUS.NEGATIVE)
         self.assertIn('~ teams.nightly-batch.weight: 0.5 -> 1.5', run.output)
         self.assertIn('- teams.refunds.weight: 2.0\n', run.output)
         self.assertNotIn('accounts', run.output)
@@ -112,7 +112,7 @@
         self.assertIn('priority: 2, the lower of 3', run.output)
         self.assertIn('never tried at another target', run.output)
         run = self.explain(*request)
-        self.assertEqual(run.status, STATUS.NO)
+        self.assertEqual(run.status, STATUS.NEGATIVE)
         self.assertIn('428 binding-required', run.output)
 
     def test_idempotent_request(self):
@@ -124,8 +124,8 @@
 
     def test_requests_that_are_refused(self):
         run = self.explain('GET', '/v1/benefits/payments', 'refunds')
-        self.assertEqual(run.status, STATUS.NO)
+        self.assertEqual(run.status, STATUS.NEGATIVE)
         self.assertIn('the path takes POST', run.output)
         run = self.explain('GET', '/v1/claims/7', 'nobody')
-        self.assertEqual(run.status, STATUS.NO)
+        self.assertEqual(run.status, STATUS.NEGATIVE)
         self.assertIn('403 unknown-team', run.output)
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
@@ -278,10 +278,10 @@
             reuse_port=False,
         )
         async with listener:
-            await listener.serve(self._serve_copy)
+            await listener.serve(self._serve_snapshot)
 
-    async def _serve_copy(self, stream):
-        await copies.serve_copy(stream, self._knowledge.take_snapshot())
+    async def _serve_snapshot(self, stream):
+        await copies.send_snapshot(stream, self._knowledge.take_snapshot())
 
     async def _copy_when_behind(self):
         while True:
@@ -309,8 +309,10 @@
 
     async def _copy_from(self, host):
         try:
-            snapshot = await copies.fetch_copy(host, self._settings.peer_port)
-        except copies.CopyFailed as error:
+            snapshot = await copies.fetch_snapshot(
+                host, self._settings.peer_port
+            )
+        except copies.SnapshotUnavailable as error:
             logs.write_event(
                 'copy_failed', level='warning', host=host, reason=str(error)
             )
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/serving.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/serving.py
@@ -33,7 +33,7 @@
 def build_server(application, *, header_timeout_s, idle_limit):
     """Return a server that follows ``idle_limit`` on every connection."""
 
-    class LimitedProtocol(servers.GuardedProtocol):
+    class LimitedProtocol(servers.HeaderTimeoutProtocol):
         """Take the idle limit that is in force when a connection idles."""
 
         @property
--- a/packages/savoryyoke-target/savoryyoke_target/daemon.py
+++ b/packages/savoryyoke-target/savoryyoke_target/daemon.py
@@ -185,16 +185,16 @@
             backend=self._settings.backend_url,
         )
 
-    def on_vms(self, vm_list):
+    def on_vm_list(self, vm_list):
         """Take a list of VMs; the plane keeps it for the choice of heirs."""
 
-    def on_member(self, decision):
+    def on_member_changed(self, decision):
         """Take a change of a member, which changes nothing here."""
 
     def on_attachments(self, vm_id, attachments):
         """Take payloads of another process, which change nothing here."""
 
-    def on_applied(self, applied):
+    def on_configuration_applied(self, applied):
         """Follow the configuration in force."""
         declared = applied.configuration.data_centres_by_name.get(
             self._settings.data_centre
--- a/packages/savoryyoke-target/savoryyoke_target/metrics.py
+++ b/packages/savoryyoke-target/savoryyoke_target/metrics.py
@@ -32,7 +32,7 @@
         ),
         'savoryyoke_target_configuration_reports': (
             'Faults found in configurations since the start.',
-            lambda: plane.reports,
+            lambda: plane.report_count,
         ),
         'savoryyoke_target_calls_refused': (
             'Calls that admission refused.',
