--- a/packages/savoryyoke/savoryyoke/configuration/__init__.py
+++ b/packages/savoryyoke/savoryyoke/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' file: its schema, merge rules, checks and revisions."""
+"""The operators' file: schema, parsing, merging and validation."""
--- a/packages/savoryyoke/savoryyoke/configuration/checks.py
+++ b/packages/savoryyoke/savoryyoke/configuration/checks.py
@@ -1,4 +1,4 @@
-"""Checks between the fields of a file whose parts are valid."""
+"""Checks across fields whose own values are valid."""
 
 import dataclasses
 import itertools
@@ -10,7 +10,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finding:
-    """Describe a fault at ``path``, a tuple of keys of the merged file."""
+    """Describe a fault found by a check.
+
+    ``id`` is an identifier of ``faults``; ``path`` is a tuple of keys in the
+    merged file.
+    """
 
     id: str
     path: tuple[str, ...]
@@ -19,9 +23,11 @@
 
 
 def check(configuration):
-    """Yield a ``Finding`` for every fault between fields.
+    """Yield a ``Finding`` for each conflict between fields.
 
-    ``configuration`` may be anything that holds the collections of one.
+    ``configuration`` is a ``schema.Configuration``, or any object with its
+    attributes ``data_centres_by_name``, ``services_by_name`` and
+    ``teams_by_name``.
     """
     for name, service in configuration.services_by_name.items():
         yield from _check_service(('services', name), service)
@@ -33,13 +39,13 @@
 def _check_service(path, service):
     if isinstance(service, schema.ModelGroup):
         yield from _check_models(path, service)
-    most = service.admission.max_concurrency
-    if service.warm_up.initial_concurrency > most:
+    limit = service.admission.max_concurrency
+    if service.warm_up.initial_concurrency > limit:
         yield Finding(
-            id=faults.COLD_ABOVE_WARM,
+            id=faults.INITIAL_ABOVE_MAXIMUM,
             path=(*path, 'warm_up', 'initial_concurrency'),
-            problem=f'a warm target gets only {most} calls at once',
-            hint=f'Give at most {most}, or raise admission.max_concurrency',
+            problem=f'a warm target runs at most {limit} calls at once',
+            hint=f'Set at most {limit}, or raise admission.max_concurrency',
         )
 
 
@@ -51,46 +57,50 @@
             id=faults.UNKNOWN_DEFAULT,
             path=(*path, 'models', name, 'default_version'),
             problem=f'{model.default_version!r} is not among the versions',
-            hint='Add it to versions, or name one of them',
+            hint='Add it to versions, or set one of the versions',
         )
 
 
 def _check_routes(configuration):
-    groups = {}
+    routes_by_shape = {}
     for route in routes.iterate_routes(configuration):
         operation = route.operation
-        length = operation.path.count('/')
-        groups.setdefault((operation.method, length), []).append(route)
-    for group in groups.values():
-        for first, second in itertools.combinations(group, 2):
-            if routes.overlap(first.operation, second.operation):
-                yield _describe_overlap(first, second)
-
-
-def _describe_overlap(first, second):
-    place = ('services', second.service_name, 'operations')
-    other = f'{first.service_name}.operations.{first.operation_name}'
+        segment_count = operation.path.count('/')
+        routes_by_shape.setdefault(
+            (operation.method, segment_count), []
+        ).append(route)
+    for routes_of_shape in routes_by_shape.values():
+        for earlier, later in itertools.combinations(routes_of_shape, 2):
+            if routes.overlap(earlier.operation, later.operation):
+                yield _describe_overlap(earlier, later)
+
+
+def _describe_overlap(earlier, later):
+    service_path = ('services', later.service_name, 'operations')
+    earlier_path = (
+        f'{earlier.service_name}.operations.{earlier.operation_name}'
+    )
     return Finding(
         id=faults.ROUTE_OVERLAP,
-        path=(*place, second.operation_name, 'path'),
-        problem=f'some requests also belong to services.{other}',
-        hint='Give the two different paths or methods',
+        path=(*service_path, later.operation_name, 'path'),
+        problem=f'some requests also match services.{earlier_path}',
+        hint='Use different paths or methods for the two operations',
     )
 
 
 def _check_api_keys(configuration):
-    owners = {}
+    team_names_by_api_key = {}
     for name, team in configuration.teams_by_name.items():
         if team.api_key_name is None:
             continue
-        owner = owners.setdefault(team.api_key_name, name)
-        if owner == name:
+        owner_name = team_names_by_api_key.setdefault(team.api_key_name, name)
+        if owner_name == name:
             continue
         yield Finding(
             id=faults.SHARED_API_KEY,
             path=('teams', name, 'api_key_name'),
-            problem=f'team {owner!r} has the same API key',
-            hint='Give each team a key of its own',
+            problem=f'team {owner_name!r} has the same API key',
+            hint='Use a separate API key for each team',
         )
 
 
@@ -102,8 +112,8 @@
     if not states or schema.DataCentreState.IN in states:
         return
     yield Finding(
-        id=faults.ALL_OUT,
+        id=faults.ALL_DATA_CENTRES_OUT,
         path=('data_centres',),
-        problem='every data centre is out, so that no call could be served',
-        hint='Leave at least one in',
+        problem='every data centre is out, so no call could be served',
+        hint='Set the state of at least one to in',
     )
--- a/packages/savoryyoke/savoryyoke/configuration/documents.py
+++ b/packages/savoryyoke/savoryyoke/configuration/documents.py
@@ -1,4 +1,4 @@
-"""Judgement of a base with an overlay: accepted or refused as a whole."""
+"""Validation of a base with an overlay, accepted or refused as a whole."""
 
 import dataclasses
 import json
@@ -16,7 +16,7 @@
 class Accepted:
     """Hold a valid configuration and the digest of its content.
 
-    The digest is the same for all texts of the same meaning.
+    Texts that result in the same configuration have the same digest.
     """
 
     configuration: schema.Configuration
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """Hold everything that is wrong with a base and its overlay."""
+    """Hold all faults of a base and its overlay, up to the limit."""
 
     faults: tuple[faults.Fault, ...]
 
@@ -33,19 +33,19 @@
 def build(base_text, overlay_text=''):
     """Return ``Accepted`` or ``Refused`` for a base and an overlay.
 
-    The outcome depends on the two texts and the schema version that they
-    state, so that all processes reach the same one.
+    The outcome depends only on the two texts and their schema version, so
+    that all processes get the same outcome.
     """
     base = parsing.parse(base_text, source=faults.Source.BASE)
     overlay = parsing.parse(overlay_text, source=faults.Source.OVERLAY)
-    found = base.faults + overlay.faults
-    if found:
-        return Refused(faults=faults.bound(found))
+    found_faults = base.faults + overlay.faults
+    if found_faults:
+        return Refused(faults=faults.limit_faults(found_faults))
     merged = merging.merge(base=base.tree, overlay=overlay.tree)
     validated = validation.validate(merged.tree, overlay=overlay.tree)
-    found = merged.faults + validated.faults
-    if found:
-        return Refused(faults=faults.bound(found))
+    found_faults = merged.faults + validated.faults
+    if found_faults:
+        return Refused(faults=faults.limit_faults(found_faults))
     return Accepted(
         configuration=validated.configuration,
         digest=compute_digest(validated.configuration),
@@ -53,17 +53,17 @@
 
 
 def compute_digest(configuration):
-    """Return the digest of ``configuration``, 32 hexadecimal digits."""
+    """Return the digest of ``configuration`` as 32 hexadecimal digits."""
     return xxhash.xxh3_128_hexdigest(serialize(configuration).encode())
 
 
 def serialize(configuration):
-    """Return the canonical JSON of ``configuration``, defaults included."""
+    """Return ``configuration`` as canonical JSON, including defaults."""
     return json.dumps(
         to_plain(configuration), sort_keys=True, separators=(',', ':')
     )
 
 
 def to_plain(configuration):
-    """Return ``configuration`` as plain mappings, lists and scalars."""
+    """Return ``configuration`` as mappings, lists and scalars for JSON."""
     return configuration.model_dump(mode='json', by_alias=True)
--- a/packages/savoryyoke/savoryyoke/configuration/faults.py
+++ b/packages/savoryyoke/savoryyoke/configuration/faults.py
@@ -1,4 +1,7 @@
-"""Faults of a file, each with a stable identifier, a place and a hint."""
+"""Faults of the operators' file.
+
+Each has a stable identifier, a path in the file and a hint.
+"""
 
 import dataclasses
 import enum
@@ -13,13 +16,13 @@
 DUPLICATE_KEY = 'savoryyoke.E103'
 ALIAS = 'savoryyoke.E104'
 TAG = 'savoryyoke.E105'
-KEY_NOT_TEXT = 'savoryyoke.E106'
+KEY_NOT_SCALAR = 'savoryyoke.E106'
 TOO_DEEP = 'savoryyoke.E107'
 NOT_A_MAPPING = 'savoryyoke.E108'
 
 UNKNOWN_NAME = 'savoryyoke.E110'
 FIXED_FIELD = 'savoryyoke.E111'
-SHAPE = 'savoryyoke.E112'
+MAPPING_MISMATCH = 'savoryyoke.E112'
 NOTHING_TO_DELETE = 'savoryyoke.E113'
 NAME_DELETED = 'savoryyoke.E114'
 
@@ -31,14 +34,14 @@
 ROUTE_OVERLAP = 'savoryyoke.E130'
 SHARED_API_KEY = 'savoryyoke.E131'
 UNKNOWN_DEFAULT = 'savoryyoke.E132'
-COLD_ABOVE_WARM = 'savoryyoke.E133'
-ALL_OUT = 'savoryyoke.E135'
+INITIAL_ABOVE_MAXIMUM = 'savoryyoke.E133'
+ALL_DATA_CENTRES_OUT = 'savoryyoke.E135'
 
 MORE_FAULTS = 'savoryyoke.E199'
 
 
 class Source(enum.StrEnum):
-    """List the texts that a fault may lie in."""
+    """List the texts that may contain a fault."""
 
     BASE = 'base'
     OVERLAY = 'overlay'
@@ -46,10 +49,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fault:
-    """Describe one thing wrong with the operators' file.
+    """Describe one fault in the operators' file.
 
-    ``path`` names the place by its keys, joined by dots; it is empty where
-    the whole text is at fault.
+    ``path`` consists of the keys that lead to the fault, joined by dots. It
+    is empty if the fault concerns the whole text.
     """
 
     id: str
@@ -60,39 +63,39 @@
 
     def __str__(self):
         """Return the fault as one line."""
-        place = f'{self.source.value}: {self.path}'.removesuffix(': ')
-        return f'{self.id} {place}: {self.problem}. {self.hint}.'
+        location = f'{self.source.value}: {self.path}'.removesuffix(': ')
+        return f'{self.id} {location}: {self.problem}. {self.hint}.'
 
 
 def render_path(keys):
-    """Join ``keys`` by dots; quote and shorten those that are not plain."""
+    """Join ``keys`` by dots; shorten long keys and quote special ones."""
     return '.'.join(_render_key(str(key)) for key in keys)
 
 
 def render_value(value):
-    """Return ``value`` as one short line."""
+    """Return ``value`` as one line, shortened if it is long."""
     text = repr(value)
-    if len(text) <= conf.VALUE_SHOWN_LIMIT:
+    if len(text) <= conf.VALUE_DISPLAY_LIMIT_CHARACTERS:
         return text
-    return text[: conf.VALUE_SHOWN_LIMIT] + '...'
+    return text[: conf.VALUE_DISPLAY_LIMIT_CHARACTERS] + '...'
 
 
-def bound(found):
-    """Return at most ``FAULTS_LIMIT`` faults and a count of the rest."""
-    kept = tuple(found[: conf.FAULTS_LIMIT])
-    if len(found) <= conf.FAULTS_LIMIT:
-        return kept
-    more = Fault(
+def limit_faults(all_faults):
+    """Return up to ``FAULTS_LIMIT`` faults, and one that counts the rest."""
+    shown = tuple(all_faults[: conf.FAULTS_LIMIT])
+    if len(all_faults) <= conf.FAULTS_LIMIT:
+        return shown
+    remainder = Fault(
         id=MORE_FAULTS,
-        source=kept[-1].source,
+        source=shown[-1].source,
         path='',
-        problem=f'at least {len(found) - len(kept)} more are not shown',
-        hint='Mend the faults above and check again',
+        problem=f'at least {len(all_faults) - len(shown)} more are not shown',
+        hint='Correct the faults above and check again',
     )
-    return (*kept, more)
+    return (*shown, remainder)
 
 
 def _render_key(key):
-    if len(key) > conf.KEY_SHOWN_LIMIT:
-        key = key[: conf.KEY_SHOWN_LIMIT] + '...'
+    if len(key) > conf.KEY_DISPLAY_LIMIT_CHARACTERS:
+        key = key[: conf.KEY_DISPLAY_LIMIT_CHARACTERS] + '...'
     return key if _PLAIN_KEY.fullmatch(key) else repr(key)
--- a/packages/savoryyoke/savoryyoke/configuration/fields.py
+++ b/packages/savoryyoke/savoryyoke/configuration/fields.py
@@ -1,4 +1,4 @@
-"""Types of the fields of the operators' file."""
+"""Field types and base class for the schema of the operators' file."""
 
 import types
 from typing import Annotated
@@ -36,18 +36,24 @@
 
 
 class Part(pydantic.BaseModel):
-    """Serve as the base class of the parts of the file."""
+    """Serve as the base class of all models of the schema.
+
+    Instances are frozen and refuse unknown fields.
+    """
 
     model_config = pydantic.ConfigDict(
         extra='forbid', frozen=True, validate_by_name=False
     )
 
 
-def by_name(part, *, limit, least=0):
-    """Return the type of a read-only mapping from names to ``part``."""
+def by_name(part, *, max_items, min_items=0):
+    """Return the type of a read-only mapping from names to ``part``.
+
+    The mapping has ``min_items`` to ``max_items`` items.
+    """
     return Annotated[
         dict[Name, part],
-        pydantic.Field(min_length=least, max_length=limit),
+        pydantic.Field(min_length=min_items, max_length=max_items),
         pydantic.AfterValidator(types.MappingProxyType),
         pydantic.WrapSerializer(_serialize_mapping),
     ]
--- a/packages/savoryyoke/savoryyoke/configuration/merging.py
+++ b/packages/savoryyoke/savoryyoke/configuration/merging.py
@@ -1,139 +1,142 @@
 """Merging of a site's overlay into the base.
 
-Mappings merge by key; scalars and lists replace; an explicit null deletes
-an optional key. An overlay names no service, operation, model, team or data
-centre that the base lacks, deletes none, and leaves alone what all sites
-must agree on.
+Mappings are merged by key; scalars and lists replace the value of the base;
+an explicit null deletes an optional key. An overlay must not add or delete a
+service, operation, model, team or data centre, and must not change the
+fields that have to be the same at all sites (``FIXED_FIELDS``).
 """
 
 import dataclasses
 
 from savoryyoke.configuration import faults
 
-ANY = '*'
+ANY_NAME = '*'
 
-# Mappings whose keys are names that operators choose.
+# Paths of mappings whose keys are names chosen by operators.
 COLLECTIONS = (
     ('data_centres',),
     ('services',),
-    ('services', ANY, 'models'),
-    ('services', ANY, 'operations'),
+    ('services', ANY_NAME, 'models'),
+    ('services', ANY_NAME, 'operations'),
     ('teams',),
 )
-# A request may be retried through an entry of another site, so that what
-# it is must not depend on the site.
+# A request may be retried through an entry of another site, so these
+# properties of a request must not depend on the site.
 FIXED_FIELDS = (
     ('schema_version',),
-    ('services', ANY, 'kind'),
-    ('services', ANY, 'operations', ANY, 'idempotent'),
-    ('services', ANY, 'operations', ANY, 'method'),
-    ('services', ANY, 'operations', ANY, 'path'),
+    ('services', ANY_NAME, 'kind'),
+    ('services', ANY_NAME, 'operations', ANY_NAME, 'idempotent'),
+    ('services', ANY_NAME, 'operations', ANY_NAME, 'method'),
+    ('services', ANY_NAME, 'operations', ANY_NAME, 'path'),
 )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Merged:
-    """Hold the merged tree and the faults of the overlay."""
+    """Hold the merged tree and the faults found in the overlay."""
 
     tree: dict
     faults: tuple[faults.Fault, ...]
 
 
 def merge(*, base, overlay):
-    """Return ``overlay`` merged into ``base``; neither is changed.
+    """Return ``overlay`` merged into ``base``, without changing either.
 
-    A part of the overlay that is at fault is left out of the result.
+    Parts of the overlay that have a fault are omitted from the result.
     """
-    found = []
-    tree = _merge_mapping(base, overlay, (), found)
-    return Merged(tree=tree, faults=tuple(found))
+    found_faults = []
+    tree = _merge_mapping(base, overlay, (), found_faults)
+    return Merged(tree=tree, faults=tuple(found_faults))
 
 
-def _merge_mapping(base, overlay, path, found):
+def _merge_mapping(base, overlay, path, found_faults):
     merged = dict(base)
     for key, value in overlay.items():
-        place = (*path, key)
-        fault = _check(base, key, value, place)
+        key_path = (*path, key)
+        fault = _find_fault(base, key, value, key_path)
         if fault is not None:
-            found.append(fault)
+            found_faults.append(fault)
         elif value is None:
             del merged[key]
         elif isinstance(value, dict):
             merged[key] = _merge_mapping(
-                base.get(key, {}), value, place, found
+                base.get(key, {}), value, key_path, found_faults
             )
         else:
             merged[key] = value
     return merged
 
 
-def _check(base, key, value, place):
-    """Return what forbids setting ``place`` to ``value``, or None."""
-    is_name = _matches(place[:-1], COLLECTIONS)
-    if is_name and key not in base:
-        return _fault(
+def _find_fault(base, key, value, key_path):
+    """Return the fault of setting ``key_path`` to ``value``, or None."""
+    is_named_item = _matches_any(key_path[:-1], COLLECTIONS)
+    if is_named_item and key not in base:
+        return _build_fault(
             faults.UNKNOWN_NAME,
-            place,
-            'the base holds no such name',
+            key_path,
+            'the base has no such name',
             'Add it to the base, or correct its spelling',
         )
-    if _matches(place, FIXED_FIELDS) and not _same(base.get(key), value):
-        return _fault(
+    if _matches_any(key_path, FIXED_FIELDS) and not _is_same_value(
+        base.get(key), value
+    ):
+        return _build_fault(
             faults.FIXED_FIELD,
-            place,
-            'every site must agree on it',
+            key_path,
+            'it must be the same at all sites',
             'Change it in the base',
         )
     if value is None:
-        return _check_deletion(base, key, place, is_name)
+        return _find_deletion_fault(base, key, key_path, is_named_item)
     if key in base and isinstance(base[key], dict) != isinstance(value, dict):
-        return _fault(
-            faults.SHAPE,
-            place,
-            'only one of base and overlay holds a mapping here',
-            'Give it the shape that it has in the base',
+        return _build_fault(
+            faults.MAPPING_MISMATCH,
+            key_path,
+            'it is a mapping in only one of base and overlay',
+            'Use a mapping in both or in neither',
         )
     return None
 
 
-def _check_deletion(base, key, place, is_name):
-    if is_name:
-        return _fault(
+def _find_deletion_fault(base, key, key_path, is_named_item):
+    if is_named_item:
+        return _build_fault(
             faults.NAME_DELETED,
-            place,
-            'an overlay may not delete a name',
+            key_path,
+            'an overlay must not delete a named item',
             'Delete it in the base',
         )
     if key not in base:
-        return _fault(
+        return _build_fault(
             faults.NOTHING_TO_DELETE,
-            place,
-            'null deletes a key that the base does not hold',
+            key_path,
+            'null deletes a key that is not in the base',
             'Remove the line',
         )
     return None
 
 
-def _matches(path, patterns):
+def _matches_any(path, patterns):
     return any(
         len(path) == len(pattern)
         and all(
-            part in (ANY, key) for part, key in zip(pattern, path, strict=True)
+            expected in (ANY_NAME, key)
+            for expected, key in zip(pattern, path, strict=True)
         )
         for pattern in patterns
     )
 
 
-def _same(before, after):
-    # 1 equals True in Python, but not in the file.
+def _is_same_value(before, after):
+    # Compare the types too: in Python, 1 == True.
     return type(before) is type(after) and before == after
 
 
-def _fault(id_, place, problem, hint):
+def _build_fault(fault_id, key_path, problem, hint):
     return faults.Fault(
-        id=id_,
+        id=fault_id,
         source=faults.Source.OVERLAY,
-        path=faults.render_path(place),
+        path=faults.render_path(key_path),
         problem=problem,
         hint=hint,
     )
--- a/packages/savoryyoke/savoryyoke/configuration/policies.py
+++ b/packages/savoryyoke/savoryyoke/configuration/policies.py
@@ -7,43 +7,43 @@
 
 
 class Retry(fields.Part):
-    """Bound the retries of calls that may be repeated."""
+    """Limit the retries of calls that may be repeated."""
 
     budget_ratio: fields.Ratio = pydantic.Field(
         default=conf.RETRY_BUDGET_RATIO,
-        description='Retries allowed, as a ratio of first attempts.',
+        description='Allowed retries, as a ratio of first attempts.',
     )
     max_attempts: int = pydantic.Field(
         default=conf.RETRY_MAX_ATTEMPTS,
         strict=True,
         ge=1,
         le=10,
-        description='Attempts allowed for one call, the first included.',
+        description='Allowed attempts for one call, including the first.',
     )
 
 
 class WarmUp(fields.Part):
-    """State how a fresh target is brought to full load."""
+    """Define how the concurrency of a cold target increases."""
 
     initial_concurrency: fields.Count = pydantic.Field(
         default=conf.WARM_UP_INITIAL_CONCURRENCY,
-        description='Calls at once that a cold target is given.',
+        description='Calls at once that a cold target may run.',
     )
     growth_per_success: float = pydantic.Field(
         default=conf.WARM_UP_GROWTH_PER_SUCCESS,
         strict=True,
         gt=0,
         le=1,
-        description='Calls at once that each healthy completion adds.',
+        description='Increase of the calls at once for each successful call.',
     )
     cold_after_idle_s: fields.Lifetime = pydantic.Field(
         default=conf.WARM_UP_COLD_AFTER_IDLE_S,
-        description='Time without a call, in seconds, that turns it cold.',
+        description='Time in seconds without a call after which it is cold.',
     )
 
 
 class Admission(fields.Part):
-    """Bound what one target runs and queues."""
+    """Limit the calls that one target runs and queues."""
 
     max_concurrency: fields.Count = pydantic.Field(
         default=conf.ADMISSION_MAX_CONCURRENCY,
@@ -51,5 +51,5 @@
     )
     queue_limit: fields.CountOrZero = pydantic.Field(
         default=conf.ADMISSION_QUEUE_LIMIT,
-        description='Calls that may wait at a target; more are refused.',
+        description='Calls that may wait at a target; others are refused.',
     )
--- a/packages/savoryyoke/savoryyoke/configuration/routes.py
+++ b/packages/savoryyoke/savoryyoke/configuration/routes.py
@@ -1,4 +1,4 @@
-"""Lookup of the operation that a request's method and path belong to."""
+"""Lookup of the operation for the method and path of a request."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """Name an operation and the service that it belongs to."""
+    """Hold an operation and its service, with their names."""
 
     service_name: str
     operation_name: str
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoRoute:
-    """Report that no operation fits; ``methods`` fit the path."""
+    """Report that no operation matches; ``methods`` match the path."""
 
     methods: tuple[str, ...]
 
@@ -27,39 +27,43 @@
 
     def __init__(self, *, configuration):
         """Index the operations of ``configuration``."""
-        self._literals = {}
-        self._templates = {}
+        self._routes_by_literal = {}
+        self._templates_by_shape = {}
         for route in iterate_routes(configuration):
-            self._add(route)
+            self._add_route(route)
 
     def find(self, *, method, path):
         """Return the ``Route`` of a request, or ``NoRoute``."""
-        route = self._find(method, path)
+        route = self._find_route(method, path)
         if route is not None:
             return route
         methods = [
-            other.value for other in schema.Method if self._find(other, path)
+            candidate.value
+            for candidate in schema.Method
+            if self._find_route(candidate, path)
         ]
         return NoRoute(methods=tuple(methods))
 
-    def _add(self, route):
+    def _add_route(self, route):
         method = route.operation.method
         path = route.operation.path
         if '{' not in path:
-            self._literals[method, path] = route
+            self._routes_by_literal[method, path] = route
             return
-        parts = split_path(path)
-        self._templates.setdefault((method, len(parts)), []).append(
-            (parts, route)
-        )
+        segments = split_path(path)
+        self._templates_by_shape.setdefault(
+            (method, len(segments)), []
+        ).append((segments, route))
 
-    def _find(self, method, path):
-        route = self._literals.get((method, path))
+    def _find_route(self, method, path):
+        route = self._routes_by_literal.get((method, path))
         if route is not None:
             return route
-        parts = split_path(path)
-        for template, route in self._templates.get((method, len(parts)), ()):
-            if _fits(template, parts):
+        segments = split_path(path)
+        for template, route in self._templates_by_shape.get(
+            (method, len(segments)), ()
+        ):
+            if _matches_template(template, segments):
                 return route
         return None
 
@@ -77,16 +81,20 @@
 
 
 def overlap(first, second):
-    """Tell whether some request belongs to both operations."""
+    """Return whether some request matches both operations."""
     if first.method is not second.method:
         return False
-    first_parts = split_path(first.path)
-    second_parts = split_path(second.path)
-    if len(first_parts) != len(second_parts):
+    first_segments = split_path(first.path)
+    second_segments = split_path(second.path)
+    if len(first_segments) != len(second_segments):
         return False
     return all(
-        one == other or is_parameter(one) or is_parameter(other)
-        for one, other in zip(first_parts, second_parts, strict=True)
+        first_segment == second_segment
+        or is_parameter(first_segment)
+        or is_parameter(second_segment)
+        for first_segment, second_segment in zip(
+            first_segments, second_segments, strict=True
+        )
     )
 
 
@@ -95,13 +103,14 @@
     return tuple(path.split('/')[1:])
 
 
-def is_parameter(part):
-    """Tell whether a segment of a template stands for any text."""
-    return part.startswith('{')
+def is_parameter(segment):
+    """Return whether a path segment is a placeholder such as ``{name}``."""
+    return segment.startswith('{')
 
 
-def _fits(template, parts):
+def _matches_template(template, segments):
     return all(
-        expected == part or (is_parameter(expected) and part != '')
-        for expected, part in zip(template, parts, strict=True)
+        template_segment == segment
+        or (is_parameter(template_segment) and segment != '')
+        for template_segment, segment in zip(template, segments, strict=True)
     )
--- a/packages/savoryyoke/savoryyoke/configuration/schema.py
+++ b/packages/savoryyoke/savoryyoke/configuration/schema.py
@@ -1,8 +1,8 @@
 """Schema of the merged operators' file, version 1.
 
-The fields, defaults and checks of a released version never change; an
-addition of any kind makes a new version. Hence two releases that both know
-the version which a file states judge the file alike.
+The fields, defaults and checks of a released version never change; any
+addition requires a new version. Therefore all releases that support the
+schema version of a file accept or refuse the file alike.
 """
 
 import enum
@@ -35,7 +35,7 @@
 
 
 class DataCentreState(enum.StrEnum):
-    """List whether a data centre takes new work."""
+    """List the states of a data centre: taking new work or not."""
 
     IN = 'in'
     OUT = 'out'
@@ -46,18 +46,18 @@
 
     method: Method = pydantic.Field(description='HTTP method, upper case.')
     path: fields.Path = pydantic.Field(
-        description='Path of the request; ``{name}`` stands for one segment.'
+        description='Path of the request; ``{name}`` matches one segment.'
     )
     idempotent: fields.Flag = pydantic.Field(
         description='Whether a call may safely run more than once.'
     )
     timeout_s: fields.Timeout = pydantic.Field(
         default=conf.OPERATION_TIMEOUT_S,
-        description='Time in seconds within which a call is answered.',
+        description='Time limit in seconds for answering a call.',
     )
     priority: fields.Priority = pydantic.Field(
         default=conf.OPERATION_PRIORITY,
-        description='Importance of its calls; a higher number goes first.',
+        description='Priority of its calls; higher numbers go first.',
     )
 
 
@@ -70,7 +70,7 @@
         description='Versions that may be loaded.',
     )
     default_version: fields.Name = pydantic.Field(
-        description='Version that serves calls which name none.'
+        description='Version for calls that do not name a version.'
     )
     adapters: tuple[fields.Name, ...] = pydantic.Field(
         default=(),
@@ -80,19 +80,19 @@
 
 
 class Service(fields.Part):
-    """Hold what both kinds of services have in common."""
+    """Hold the fields that both kinds of services have in common."""
 
     replicas: fields.Count = pydantic.Field(
-        description='Targets that serve it, in all data centres together.'
+        description='Number of targets in all data centres together.'
     )
     operations_by_name: fields.by_name(
-        Operation, limit=conf.OPERATIONS_LIMIT, least=1
+        Operation, max_items=conf.OPERATIONS_LIMIT, min_items=1
     ) = pydantic.Field(
         alias='operations', description='Its operations, by name.'
     )
     checks_fencing: fields.Flag = pydantic.Field(
         default=False,
-        description='Whether its targets refuse an old fencing token.',
+        description='Whether its targets refuse outdated fencing tokens.',
     )
     retry: policies.Retry = policies.Retry()
     warm_up: policies.WarmUp = policies.WarmUp()
@@ -105,17 +105,17 @@
     kind: Literal[ServiceKind.MODEL_GROUP] = pydantic.Field(
         description='``model_group``.'
     )
-    models_by_name: fields.by_name(Model, limit=conf.MODELS_LIMIT, least=1) = (
-        pydantic.Field(alias='models', description='Its models, by name.')
-    )
+    models_by_name: fields.by_name(
+        Model, max_items=conf.MODELS_LIMIT, min_items=1
+    ) = pydantic.Field(alias='models', description='Its models, by name.')
     ranks_per_group: fields.Count = pydantic.Field(
-        description='Ranks that run one replica in lock-step.'
+        description='Number of ranks that run one replica in lock-step.'
     )
     experts_per_layer: fields.Count = pydantic.Field(
-        description='Experts in each expert layer.'
+        description='Number of experts in each expert layer.'
     )
     expert_layers: fields.Count = pydantic.Field(
-        description='Layers that hold experts.'
+        description='Number of layers with experts.'
     )
 
 
@@ -128,7 +128,7 @@
 
 
 class Team(fields.Part):
-    """Declare a team, its share and its limits."""
+    """Declare a team with its weight and limits."""
 
     weight: fields.Weight = pydantic.Field(
         default=conf.TEAM_WEIGHT,
@@ -140,11 +140,11 @@
     )
     requests_per_s: fields.Rate | None = pydantic.Field(
         default=None,
-        description='Requests a second in the whole fleet; unset: no limit.',
+        description='Requests per second in the whole fleet; unset: no limit.',
     )
     tokens_per_s: fields.Rate | None = pydantic.Field(
         default=None,
-        description='Tokens a second in the whole fleet; unset: no limit.',
+        description='Tokens per second in the whole fleet; unset: no limit.',
     )
     max_concurrency: fields.Count | None = pydantic.Field(
         default=None,
@@ -160,11 +160,11 @@
     """Declare a data centre and whether it takes new work."""
 
     region: fields.Name = pydantic.Field(
-        description='Region that it belongs to.'
+        description='Region of the data centre.'
     )
     state: DataCentreState = pydantic.Field(
         default=DataCentreState.IN,
-        description='``in``, or ``out`` to keep all new work away.',
+        description='``in``, or ``out`` to send it no new work.',
     )
 
 
@@ -174,22 +174,22 @@
 
 
 class Configuration(fields.Part):
-    """Hold the whole merged file."""
+    """Hold the merged file as a whole."""
 
     schema_version: int = pydantic.Field(
         strict=True,
         ge=1,
         le=1,
-        description='Version of this schema that the file is written for.',
+        description='Version of the schema that the file uses.',
     )
     data_centres_by_name: fields.by_name(
-        DataCentre, limit=conf.DATA_CENTRES_LIMIT, least=1
+        DataCentre, max_items=conf.DATA_CENTRES_LIMIT, min_items=1
     ) = pydantic.Field(
         alias='data_centres', description='Data centres, by name.'
     )
     services_by_name: fields.by_name(
-        AnyService, limit=conf.SERVICES_LIMIT, least=1
+        AnyService, max_items=conf.SERVICES_LIMIT, min_items=1
     ) = pydantic.Field(alias='services', description='Services, by name.')
-    teams_by_name: fields.by_name(Team, limit=conf.TEAMS_LIMIT, least=1) = (
-        pydantic.Field(alias='teams', description='Teams, by name.')
-    )
+    teams_by_name: fields.by_name(
+        Team, max_items=conf.TEAMS_LIMIT, min_items=1
+    ) = pydantic.Field(alias='teams', description='Teams, by name.')
--- a/packages/savoryyoke/savoryyoke/configuration/validation.py
+++ b/packages/savoryyoke/savoryyoke/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Validation of a merged tree against the schema and its checks."""
+"""Validation of a merged tree against the schema and the checks."""
 
 import dataclasses
 import difflib
@@ -11,9 +11,10 @@
 from savoryyoke.configuration import fields
 from savoryyoke.configuration import schema
 
-# A part is one entry of a collection at the top, such as one service.
+# Number of keys in the path of a part: an item of a top-level collection,
+# such as one service.
 _PART_LENGTH = 2
-_KINDS_HINT = f'Give one of: {", ".join(schema.ServiceKind)}'
+_KINDS_HINT = f'Set one of: {", ".join(schema.ServiceKind)}'
 _ADAPTERS_BY_COLLECTION = {
     'data_centres': pydantic.TypeAdapter(schema.DataCentre),
     'services': pydantic.TypeAdapter(schema.AnyService),
@@ -23,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Validated:
-    """Hold the configuration, or None and the faults."""
+    """Hold the configuration, or None with the faults."""
 
     configuration: schema.Configuration | None
     faults: tuple[faults.Fault, ...]
@@ -31,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _ValidParts:
-    """Hold the valid parts of a configuration that is not valid."""
+    """Hold the valid parts of an invalid configuration."""
 
     data_centres_by_name: dict
     services_by_name: dict
@@ -39,21 +40,22 @@
 
 
 def validate(tree, *, overlay):
-    """Validate ``tree``; ``overlay`` tells which text a place came from.
+    """Validate ``tree``, the result of merging, and return ``Validated``.
 
-    Checks between fields run on the parts whose own fields are valid, so
-    that one fault does not hide another elsewhere.
+    ``overlay`` is the tree of the overlay; it determines the source of each
+    fault. The checks across fields run on all parts that are valid by
+    themselves, so that a fault in one part does not hide faults in others.
     """
     version = tree.get('schema_version')
     if type(version) is int and version not in conf.SCHEMA_VERSIONS:
-        fault = _refuse_version(version, overlay)
+        fault = _build_version_fault(version, overlay)
         return Validated(configuration=None, faults=(fault,))
     configuration, errors = _validate_fields(tree)
-    found = [_translate(error, overlay) for error in errors]
-    valid = configuration or _keep_valid(tree)
-    found.extend(
-        _fault(
-            id_=finding.id,
+    found_faults = [_build_error_fault(error, overlay) for error in errors]
+    valid = configuration or _collect_valid_parts(tree)
+    found_faults.extend(
+        _build_fault(
+            fault_id=finding.id,
             path=finding.path,
             overlay=overlay,
             problem=finding.problem,
@@ -62,7 +64,8 @@
         for finding in checks.check(valid)
     )
     return Validated(
-        configuration=None if found else configuration, faults=tuple(found)
+        configuration=None if found_faults else configuration,
+        faults=tuple(found_faults),
     )
 
 
@@ -73,16 +76,17 @@
         return None, error.errors(include_url=False, include_context=False)
 
 
-def _keep_valid(tree):
+def _collect_valid_parts(tree):
     valid = {}
     for collection, adapter in _ADAPTERS_BY_COLLECTION.items():
         parts = tree.get(collection)
         parts = parts if isinstance(parts, dict) else {}
-        valid[collection] = _keep_valid_parts(parts, adapter)
+        valid[collection] = _validate_parts(parts, adapter)
         if collection == 'data_centres' and len(valid[collection]) < len(
             parts
         ):
-            # Whether all are out is unknown while one is not valid.
+            # An invalid data centre might have the state "in", so the check
+            # that not all are out is skipped.
             valid[collection] = {}
     return _ValidParts(
         data_centres_by_name=valid['data_centres'],
@@ -91,56 +95,60 @@
     )
 
 
-def _keep_valid_parts(parts, adapter):
+def _validate_parts(parts, adapter):
     valid = {}
     for name, part in parts.items():
         try:
             valid[name] = adapter.validate_python(part)
         except pydantic.ValidationError:
-            # The validation of the whole file has reported it.
+            # The validation of the whole file reports this error.
             continue
     return valid
 
 
-def _path(error):
-    """Return the keys of an error's place, as the file has them."""
+def _get_path_in_file(error):
+    """Return the keys of the file that lead to an error."""
     path = tuple(key for key in error['loc'] if key != '[key]')
     if len(path) > _PART_LENGTH and path[0] == 'services':
-        # The third key names the kind that the service was read as.
+        # Pydantic adds the kind of the service as the third key.
         return path[:_PART_LENGTH] + path[_PART_LENGTH + 1 :]
     return path
 
 
-def _refuse_version(version, overlay):
-    known = ', '.join(str(known) for known in conf.SCHEMA_VERSIONS)
-    return _fault(
-        id_=faults.UNKNOWN_VERSION,
+def _build_version_fault(version, overlay):
+    supported = ', '.join(str(number) for number in conf.SCHEMA_VERSIONS)
+    return _build_fault(
+        fault_id=faults.UNKNOWN_VERSION,
         path=('schema_version',),
         overlay=overlay,
-        problem=f'this release does not know version {version}',
-        hint=f'Give one of: {known}; raise it only after every process'
-        ' runs a release that knows the new one',
+        problem=f'this release does not support version {version}',
+        hint=f'Set one of: {supported}; raise it only after every process'
+        ' runs a release that supports the new one',
     )
 
 
-def _translate(error, overlay):
-    path = _path(error)
-    hint = 'The reference lists what is allowed'
+def _build_error_fault(error, overlay):
+    path = _get_path_in_file(error)
+    hint = 'The reference lists the allowed values'
     if error['type'] == 'missing':
-        id_, problem, hint = faults.MISSING, 'it is required', 'Add it'
+        fault_id, problem, hint = faults.MISSING, 'it is required', 'Add it'
     elif error['type'] == 'union_tag_not_found':
         path = (*path, 'kind')
-        id_, problem, hint = faults.MISSING, 'it is required', _KINDS_HINT
+        fault_id, problem, hint = faults.MISSING, 'it is required', _KINDS_HINT
     elif error['type'] == 'union_tag_invalid':
         path = (*path, 'kind')
-        id_, problem, hint = faults.INVALID, 'no such kind', _KINDS_HINT
+        fault_id, problem, hint = faults.INVALID, 'no such kind', _KINDS_HINT
     elif error['type'] == 'extra_forbidden':
-        id_, problem = faults.UNKNOWN_FIELD, 'there is no such field'
+        fault_id, problem = faults.UNKNOWN_FIELD, 'there is no such field'
         hint = _suggest(str(path[-1]))
     else:
-        id_, problem = faults.INVALID, _describe(error)
-    return _fault(
-        id_=id_, path=path, overlay=overlay, problem=problem, hint=hint
+        fault_id, problem = faults.INVALID, _describe(error)
+    return _build_fault(
+        fault_id=fault_id,
+        path=path,
+        overlay=overlay,
+        problem=problem,
+        hint=hint,
     )
 
 
@@ -150,12 +158,12 @@
 
 
 def _suggest(name):
-    known = {
+    field_names = {
         field.alias or field_name
         for part in _iterate_parts(fields.Part)
         for field_name, field in part.model_fields.items()
     }
-    matches = difflib.get_close_matches(name, sorted(known), n=1)
+    matches = difflib.get_close_matches(name, sorted(field_names), n=1)
     if matches:
         return f'Did you mean {matches[0]}'
     return 'Remove it; the reference lists the fields'
@@ -167,9 +175,9 @@
         yield from _iterate_parts(child)
 
 
-def _fault(*, id_, path, overlay, problem, hint):
+def _build_fault(*, fault_id, path, overlay, problem, hint):
     return faults.Fault(
-        id=id_,
+        id=fault_id,
         source=_find_source(path, overlay),
         path=faults.render_path(path),
         problem=problem,
@@ -178,14 +186,14 @@
 
 
 def _find_source(path, overlay):
-    """Return the overlay where it sets the place, and else the base."""
-    place = overlay
+    """Return the overlay if it sets the value at ``path``, else the base."""
+    node = overlay
     for key in path:
-        if not isinstance(place, dict) or key not in place:
-            # A list is replaced as a whole.
-            is_inside_list = isinstance(place, list)
+        if not isinstance(node, dict) or key not in node:
+            # An overlay replaces a list as a whole.
+            is_inside_list = isinstance(node, list)
             return (
                 faults.Source.OVERLAY if is_inside_list else faults.Source.BASE
             )
-        place = place[key]
+        node = node[key]
     return faults.Source.OVERLAY
--- a/packages/savoryyoke/tests/configuration/samples.py
+++ b/packages/savoryyoke/tests/configuration/samples.py
@@ -1,4 +1,4 @@
-"""A small valid file for tests, and ways to vary it."""
+"""A small valid file for tests, and functions to vary it."""
 
 import copy
 import json
@@ -53,23 +53,29 @@
 
 
 def vary(path, value, *, tree=None):
-    """Return a copy of ``tree`` with the key at the dotted ``path`` set."""
+    """Return a copy of ``tree`` with ``path``, joined by dots, set.
+
+    ``tree`` defaults to ``BASE``.
+    """
     changed = copy.deepcopy(BASE if tree is None else tree)
-    place = changed
-    *parents, last = path.split('.')
+    node = changed
+    *parents, last_key = path.split('.')
     for key in parents:
-        place = place.setdefault(key, {})
-    place[last] = value
+        node = node.setdefault(key, {})
+    node[last_key] = value
     return changed
 
 
 def nest(path, value):
-    """Return a tree that holds only the dotted ``path``."""
+    """Return a tree that contains only ``path``, joined by dots."""
     return vary(path, value, tree={})
 
 
 def build(base=None, overlay=None):
-    """Judge two trees, written as JSON, which is YAML too."""
+    """Validate two trees; they are passed as JSON, a subset of YAML.
+
+    ``base`` defaults to ``BASE``.
+    """
     base = BASE if base is None else base
     overlay_text = '' if overlay is None else json.dumps(overlay)
     return documents.build(json.dumps(base), overlay_text)
--- a/packages/savoryyoke/tests/configuration/test_documents.py
+++ b/packages/savoryyoke/tests/configuration/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement of a whole file."""
+"""Tests of the validation of a whole file."""
 
 import json
 import unittest
@@ -12,8 +12,8 @@
 
 CLAIMS = 'services.claims'
 LETTERS = 'services.letters'
-# A change of this digest is a change of what version 1 means, which
-# processes of two neighbouring releases would then judge differently.
+# If this digest changes, so does the meaning of schema version 1, and two
+# releases that run side by side would treat the same file differently.
 BASE_DIGEST = '9679593f1288e5e881b18c575a5c803a'
 
 
@@ -37,7 +37,7 @@
         with self.assertRaises(TypeError):
             configuration.teams_by_name['new'] = None
 
-    def test_digest_follows_the_meaning(self):
+    def test_digest_depends_only_on_the_configuration(self):
         accepted = samples.build()
         reordered = json.dumps(samples.BASE, sort_keys=True, indent=3)
         self.assertEqual(accepted, documents.build(reordered, '# none\n'))
@@ -49,15 +49,15 @@
         self.assertEqual(samples.build(overlay=overlay), changed)
         self.assertNotEqual(changed.digest, accepted.digest)
 
-    def test_meaning_of_version_1_stays(self):
+    def test_meaning_of_version_1_is_unchanged(self):
         self.assertEqual(samples.build().digest, BASE_DIGEST)
 
 
 class RefuseTest(unittest.TestCase):
-    """Test that each fault is found at its place."""
+    """Test that each fault is reported with its path."""
 
     def assert_refused(self, outcome, *expected):
-        """Assert that ``outcome`` holds exactly the expected faults."""
+        """Assert that ``outcome`` has exactly the expected faults."""
         self.assertIsInstance(outcome, documents.Refused)
         found = {(fault.id, fault.path) for fault in outcome.faults}
         self.assertEqual(found, set(expected))
@@ -89,9 +89,9 @@
             (
                 f'{CLAIMS}.warm_up.initial_concurrency',
                 conf.ADMISSION_MAX_CONCURRENCY + 1,
-                faults.COLD_ABOVE_WARM,
+                faults.INITIAL_ABOVE_MAXIMUM,
             ),
-            ('data_centres.north.state', 'out', faults.ALL_OUT),
+            ('data_centres.north.state', 'out', faults.ALL_DATA_CENTRES_OUT),
             ('teams.batch.api_key_name', 'one', faults.SHARED_API_KEY),
             (
                 f'{LETTERS}.models.main.default_version',
@@ -99,30 +99,38 @@
                 faults.UNKNOWN_DEFAULT,
             ),
         )
-        for path, value, id_ in cases:
+        for path, value, fault_id in cases:
             with self.subTest(path=path, value=value):
                 outcome = samples.build(samples.vary(path, value))
-                place = 'data_centres' if id_ == faults.ALL_OUT else path
-                place = "teams.'a b'" if path == 'teams.a b' else place
-                self.assert_refused(outcome, (id_, place))
+                fault_path = (
+                    'data_centres'
+                    if fault_id == faults.ALL_DATA_CENTRES_OUT
+                    else path
+                )
+                fault_path = (
+                    "teams.'a b'" if path == 'teams.a b' else fault_path
+                )
+                self.assert_refused(outcome, (fault_id, fault_path))
 
     def test_missing_fields(self):
         operation = {'method': 'GET', 'path': '/x'}
         base = samples.vary(f'{CLAIMS}.operations.new', operation)
-        place = f'{CLAIMS}.operations.new.idempotent'
-        self.assert_refused(samples.build(base), (faults.MISSING, place))
-        place = f'{CLAIMS}.kind'
+        fault_path = f'{CLAIMS}.operations.new.idempotent'
+        self.assert_refused(samples.build(base), (faults.MISSING, fault_path))
+        fault_path = f'{CLAIMS}.kind'
         base = samples.vary(CLAIMS, {'replicas': 3})
-        self.assert_refused(samples.build(base), (faults.MISSING, place))
+        self.assert_refused(samples.build(base), (faults.MISSING, fault_path))
 
     def test_overlapping_routes(self):
-        place = f'{CLAIMS}.operations.pay.path'
+        fault_path = f'{CLAIMS}.operations.pay.path'
         cases = {'/drafts': True, '/{any}': True, '/drafts/{any}': False}
         for path, overlaps in cases.items():
             with self.subTest(path=path):
-                outcome = samples.build(samples.vary(place, path))
+                outcome = samples.build(samples.vary(fault_path, path))
                 if overlaps:
-                    self.assert_refused(outcome, (faults.ROUTE_OVERLAP, place))
+                    self.assert_refused(
+                        outcome, (faults.ROUTE_OVERLAP, fault_path)
+                    )
                 else:
                     self.assertIsInstance(outcome, documents.Accepted)
 
--- a/packages/savoryyoke/tests/configuration/test_merging.py
+++ b/packages/savoryyoke/tests/configuration/test_merging.py
@@ -1,4 +1,4 @@
-"""Tests of merging, one of them against a naive version."""
+"""Tests of merging, including a comparison with a naive implementation."""
 
 import copy
 import unittest
@@ -32,7 +32,7 @@
 
 
 def flatten(tree, path=()):
-    """Yield every path of ``tree`` with its value, ``{}`` for mappings."""
+    """Yield each path of ``tree`` with its value, or ``{}`` for a mapping."""
     for key, value in tree.items():
         if isinstance(value, dict):
             yield (*path, key), {}
@@ -42,9 +42,9 @@
 
 
 def merge_naively(base, overlay):
-    """Return the merged paths, or None where the shapes differ.
+    """Return the merged values by path, or None if the merge has a fault.
 
-    A path is set or deleted one at a time in a flat table.
+    Paths are set or deleted one at a time in a flat table.
     """
     table = dict(flatten(base))
     for path, value in flatten(overlay):
@@ -52,9 +52,9 @@
             if path not in table:
                 return None
             table = {
-                other: kept
-                for other, kept in table.items()
-                if other[: len(path)] != path
+                table_path: table_value
+                for table_path, table_value in table.items()
+                if table_path[: len(path)] != path
             }
             continue
         before = table.get(path, value)
@@ -95,7 +95,7 @@
         self.assertEqual(letters['replicas'], 12)
         self.assertEqual(merged.tree['teams']['batch'], {})
 
-    def test_every_refusal_at_once(self):
+    def test_all_faults_at_once(self):
         overlay = {
             'schema_version': True,
             'services': {
@@ -120,10 +120,10 @@
             (f'{letters}.operations.new', faults.UNKNOWN_NAME),
             (f'{letters}.operations.draft.idempotent', faults.FIXED_FIELD),
             (f'{letters}.models.other', faults.UNKNOWN_NAME),
-            (f'{letters}.replicas', faults.SHAPE),
+            (f'{letters}.replicas', faults.MAPPING_MISMATCH),
             (f'{letters}.retry', faults.NOTHING_TO_DELETE),
             ('services.claims.operations.pay', faults.NAME_DELETED),
-            ('services.claims.operations.look_up', faults.SHAPE),
+            ('services.claims.operations.look_up', faults.MAPPING_MISMATCH),
             ('teams.unheard', faults.UNKNOWN_NAME),
             ('teams.batch', faults.NAME_DELETED),
             ('data_centres.west', faults.UNKNOWN_NAME),
--- a/packages/savoryyoke/tests/configuration/test_parsing.py
+++ b/packages/savoryyoke/tests/configuration/test_parsing.py
@@ -1,4 +1,4 @@
-"""Tests of parsing, with hostile texts among them."""
+"""Tests of parsing, including malicious texts."""
 
 import unittest
 
@@ -6,16 +6,16 @@
 from savoryyoke.configuration import faults
 from savoryyoke.configuration import parsing
 
-BOMB = 'a: &a [x, x]\nb: &b [*a, *a]\nc: [*b, *b]\n'
+ALIAS_BOMB = 'a: &a [x, x]\nb: &b [*a, *a]\nc: [*b, *b]\n'
 
 
 def parse(text, *, source=faults.Source.BASE):
-    """Parse ``text`` as a base."""
+    """Parse ``text``, by default as a base."""
     return parsing.parse(text, source=source)
 
 
 class ParseTest(unittest.TestCase):
-    """Test the tree that a text gives."""
+    """Test the tree that results from a text."""
 
     def test_scalars_follow_yaml_1_2(self):
         text = (
@@ -46,10 +46,10 @@
         self.assertEqual(parse(text).faults[0].id, faults.NOT_A_MAPPING)
 
 
-class HostileTextTest(unittest.TestCase):
-    """Test that a hostile text gives faults and costs little."""
+class MaliciousTextTest(unittest.TestCase):
+    """Test that malicious texts result in faults at little cost."""
 
-    def test_each_fault_has_its_place(self):
+    def test_each_fault_has_its_path(self):
         text = (
             'a: {b: 1, b: 2}\nc: [{d: 1, d: 2}, !x y]\n'
             '? [k, l]\n: e\ne: 1\ne: 2\n'
@@ -59,7 +59,7 @@
             (faults.DUPLICATE_KEY, 'a.b'),
             (faults.DUPLICATE_KEY, 'c.1.d'),
             (faults.TAG, 'c.1'),
-            (faults.KEY_NOT_TEXT, ''),
+            (faults.KEY_NOT_SCALAR, ''),
             (faults.DUPLICATE_KEY, 'e'),
         ]
         self.assertEqual(found, expected)
@@ -71,7 +71,7 @@
             'a: 1\n---\nb: 2\n': faults.SYNTAX,
             'a: \x00': faults.SYNTAX,
             'a: \ud800': faults.SYNTAX,
-            BOMB: faults.ALIAS,
+            ALIAS_BOMB: faults.ALIAS,
             'a: &unused 1\n': faults.ALIAS,
             '<<: {a: 1}\nb: *a\n': faults.ALIAS,
             'a: !!python/object/apply:os.system [ls]\n': faults.TAG,
--- a/packages/savoryyoke/tests/configuration/test_routes.py
+++ b/packages/savoryyoke/tests/configuration/test_routes.py
@@ -7,7 +7,7 @@
 
 
 class RouteTableTest(unittest.TestCase):
-    """Test which operation a request belongs to."""
+    """Test which operation a request matches."""
 
     def setUp(self):
         configuration = samples.build().configuration
