--- a/packages/savoryyoke-agent/savoryyoke_agent/membership.py
+++ b/packages/savoryyoke-agent/savoryyoke_agent/membership.py
@@ -6,8 +6,8 @@
 
 from savoryyoke_agent import conf
 
-from savoryyoke_edge import copies
 from savoryyoke_edge import logs
+from savoryyoke_edge import snapshots
 
 
 class GroupMembership:
@@ -53,10 +53,10 @@
         for _ in self._settings.seed_hosts:
             host = next(self._seeds)
             try:
-                snapshot = await copies.fetch_snapshot(
+                snapshot = await snapshots.fetch_snapshot(
                     host, self._settings.peer_port
                 )
-            except copies.SnapshotUnavailable as error:
+            except snapshots.SnapshotUnavailable as error:
                 logs.write_event(
                     'copy_failed',
                     level='warning',
--- a/packages/savoryyoke-agent/tests/support.py
+++ b/packages/savoryyoke-agent/tests/support.py
@@ -10,7 +10,7 @@
 
 from savoryyoke_agent import daemon
 from savoryyoke_agent import ports
-from savoryyoke_edge import copies
+from savoryyoke_edge import snapshots
 from savoryyoke_fakes.deployment import sockets
 
 PASS_S = 0.04
@@ -174,7 +174,7 @@
     empty = published_models.Snapshot(as_of=1, items=())
 
     async def handle(stream):
-        await copies.send_snapshot(stream, empty)
+        await snapshots.send_snapshot(stream, empty)
 
     async with listener:
         await listener.serve(handle)
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/propagation_driver.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/propagation_driver.py
@@ -16,7 +16,7 @@
 
 
 class PropagationDriver:
-    """Own the propagation aggregate and do its input and output.
+    """Own the propagation aggregate and carry out its decisions.
 
     ``find_address(vm_id)`` returns the control address of a process, or None.
     ``owner`` has ``apply_configuration(decision)``, ``report(decision)`` and
@@ -169,7 +169,7 @@
         )
 
     async def _request_state(self, decision):
-        answer = await self._ask(
+        answer = await self._send_request(
             decision.vm_id,
             lambda number: messages.StateRequest(
                 request_id=number, site=decision.site
@@ -187,7 +187,7 @@
         )
 
     async def _fetch(self, decision):
-        answer = await self._ask(
+        answer = await self._send_request(
             decision.vm_id,
             lambda number: messages.DocumentRequest(
                 request_id=number,
@@ -211,7 +211,7 @@
             )
         )
 
-    async def _ask(self, vm_id, build_request):
+    async def _send_request(self, vm_id, build_request):
         """Return the answer of a process, or None if there is none."""
         address = self._find_address(vm_id)
         if not address:
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/validator.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/validator.py
@@ -12,7 +12,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AppliedConfiguration:
-    """Hold the configuration in force and its revisions."""
+    """Hold the configuration in force and its revisions.
+
+    ``confirmed`` is false if no peer with a configuration in force answered
+    while this process started.
+    """
 
     configuration: schema.Configuration
     base_revision: int
--- a/packages/savoryyoke-edge/savoryyoke_edge/problems.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/problems.py
@@ -69,7 +69,10 @@
             status=413,
             title='The request is too large.',
             outcome=NOT_RUN,
-            advice='Send a smaller body, or raise `--body-limit-bytes`.',
+            advice=(
+                'Send a smaller body, or have the operators raise '
+                '`--body-limit-bytes`.'
+            ),
         ),
         ProblemType(
             name='key-reused',
@@ -90,7 +93,7 @@
             status=429,
             title='The team is over its limit.',
             outcome=NOT_RUN,
-            advice='Retry after `Retry-After`.',
+            advice='Retry after `Retry-After` seconds.',
         ),
         ProblemType(
             name='quarantined',
@@ -118,14 +121,14 @@
             status=503,
             title='The call was refused and did not run.',
             outcome=NOT_RUN,
-            advice='Retry after `Retry-After`, with the same key.',
+            advice='Retry with the same key after `Retry-After` seconds.',
         ),
         ProblemType(
             name='not-answered',
             status=503,
             title='The idempotent call got no answer; it may be repeated.',
             outcome=MAY_HAVE_RUN,
-            advice='Retry after `Retry-After`; the call is idempotent.',
+            advice='Retry the idempotent call after `Retry-After` seconds.',
         ),
         ProblemType(
             name='cut-off',
@@ -153,7 +156,10 @@
             status=502,
             title='The answer broke off and could not be resumed.',
             outcome=MAY_HAVE_RUN,
-            advice='Discard the partial answer; retry after `Retry-After`.',
+            advice=(
+                'Discard the partial answer; retry after `Retry-After` '
+                'seconds.'
+            ),
         ),
     )
 }
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
@@ -12,8 +12,8 @@
 from savoryyoke.peers import slow_targets
 from savoryyoke.peers import table
 
-from savoryyoke_edge import copies
 from savoryyoke_edge import logs
+from savoryyoke_edge import snapshots
 from savoryyoke_gateway import conf
 from savoryyoke_wire import exceptions as wire_exceptions
 from savoryyoke_wire import fleet
@@ -281,7 +281,7 @@
             await listener.serve(self._serve_snapshot)
 
     async def _serve_snapshot(self, stream):
-        await copies.send_snapshot(stream, self._knowledge.take_snapshot())
+        await snapshots.send_snapshot(stream, self._knowledge.take_snapshot())
 
     async def _copy_when_behind(self):
         while True:
@@ -309,10 +309,10 @@
 
     async def _copy_from(self, host):
         try:
-            snapshot = await copies.fetch_snapshot(
+            snapshot = await snapshots.fetch_snapshot(
                 host, self._settings.peer_port
             )
-        except copies.SnapshotUnavailable as error:
+        except snapshots.SnapshotUnavailable as error:
             logs.write_event(
                 'copy_failed', level='warning', host=host, reason=str(error)
             )
--- a/packages/savoryyoke/savoryyoke/configuration/fields.py
+++ b/packages/savoryyoke/savoryyoke/configuration/fields.py
@@ -35,7 +35,7 @@
 Weight = Annotated[float, pydantic.Field(strict=True, gt=0, le=1000)]
 
 
-class Part(pydantic.BaseModel):
+class FileModel(pydantic.BaseModel):
     """Serve as the base class of all models of the schema.
 
     Instances are frozen and refuse unknown fields.
@@ -46,13 +46,13 @@
     )
 
 
-def by_name(part, *, max_items, min_items=0):
-    """Return the type of a read-only mapping from names to ``part``.
+def by_name(item_type, *, max_items, min_items=0):
+    """Return the type of a read-only mapping from names to ``item_type``.
 
     The mapping has ``min_items`` to ``max_items`` items.
     """
     return Annotated[
-        dict[Name, part],
+        dict[Name, item_type],
         pydantic.Field(min_length=min_items, max_length=max_items),
         pydantic.AfterValidator(types.MappingProxyType),
         pydantic.WrapSerializer(_serialize_mapping),
--- a/packages/savoryyoke/savoryyoke/configuration/merging.py
+++ b/packages/savoryyoke/savoryyoke/configuration/merging.py
@@ -93,7 +93,7 @@
             faults.MAPPING_MISMATCH,
             key_path,
             'it is a mapping in only one of base and overlay',
-            'Use a mapping in both or in neither',
+            'Use the same kind of value as in the base',
         )
     return None
 
--- a/packages/savoryyoke/savoryyoke/configuration/policies.py
+++ b/packages/savoryyoke/savoryyoke/configuration/policies.py
@@ -6,7 +6,7 @@
 from savoryyoke.configuration import fields
 
 
-class Retry(fields.Part):
+class Retry(fields.FileModel):
     """Limit the retries of calls that may be repeated."""
 
     budget_ratio: fields.Ratio = pydantic.Field(
@@ -22,7 +22,7 @@
     )
 
 
-class WarmUp(fields.Part):
+class WarmUp(fields.FileModel):
     """Define how the concurrency of a cold target increases."""
 
     initial_concurrency: fields.Count = pydantic.Field(
@@ -42,7 +42,7 @@
     )
 
 
-class Admission(fields.Part):
+class Admission(fields.FileModel):
     """Limit the calls that one target runs and queues."""
 
     max_concurrency: fields.Count = pydantic.Field(
--- a/packages/savoryyoke/savoryyoke/configuration/schema.py
+++ b/packages/savoryyoke/savoryyoke/configuration/schema.py
@@ -41,7 +41,7 @@
     OUT = 'out'
 
 
-class Operation(fields.Part):
+class Operation(fields.FileModel):
     """Declare one operation of a service."""
 
     method: Method = pydantic.Field(description='HTTP method, upper case.')
@@ -61,7 +61,7 @@
     )
 
 
-class Model(fields.Part):
+class Model(fields.FileModel):
     """Declare one model with its versions and adapters."""
 
     versions: tuple[fields.Name, ...] = pydantic.Field(
@@ -79,7 +79,7 @@
     )
 
 
-class Service(fields.Part):
+class Service(fields.FileModel):
     """Hold the fields that both kinds of services have in common."""
 
     replicas: fields.Count = pydantic.Field(
@@ -127,7 +127,7 @@
     )
 
 
-class Team(fields.Part):
+class Team(fields.FileModel):
     """Declare a team with its weight and limits."""
 
     weight: fields.Weight = pydantic.Field(
@@ -156,7 +156,7 @@
     )
 
 
-class DataCentre(fields.Part):
+class DataCentre(fields.FileModel):
     """Declare a data centre and whether it takes new work."""
 
     region: fields.Name = pydantic.Field(
@@ -173,7 +173,7 @@
 ]
 
 
-class Configuration(fields.Part):
+class Configuration(fields.FileModel):
     """Hold the merged file as a whole."""
 
     schema_version: int = pydantic.Field(
--- a/packages/savoryyoke/savoryyoke/configuration/validation.py
+++ b/packages/savoryyoke/savoryyoke/configuration/validation.py
@@ -122,8 +122,8 @@
         path=('schema_version',),
         overlay=overlay,
         problem=f'this release does not support version {version}',
-        hint=f'Set one of: {supported}; raise it only after every process'
-        ' runs a release that supports the new one',
+        hint=f'Set one of: {supported}; use a newer version only after every'
+        ' process runs a release that supports it',
     )
 
 
@@ -160,8 +160,8 @@
 def _suggest(name):
     field_names = {
         field.alias or field_name
-        for part in _iterate_parts(fields.Part)
-        for field_name, field in part.model_fields.items()
+        for model in _iterate_models(fields.FileModel)
+        for field_name, field in model.model_fields.items()
     }
     matches = difflib.get_close_matches(name, sorted(field_names), n=1)
     if matches:
@@ -169,10 +169,10 @@
     return 'Remove it; the reference lists the fields'
 
 
-def _iterate_parts(part):
-    yield part
-    for child in part.__subclasses__():
-        yield from _iterate_parts(child)
+def _iterate_models(model):
+    yield model
+    for child in model.__subclasses__():
+        yield from _iterate_models(child)
 
 
 def _build_fault(*, fault_id, path, overlay, problem, hint):
