--- a/packages/savoryyoke-edge/savoryyoke_edge/command_line/results.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/command_line/results.py
@@ -8,7 +8,7 @@
     """List the exit statuses of the binaries."""
 
     OK = 0
-    NO = 1
+    NEGATIVE = 1
     USAGE = 2
     UNREACHABLE = 3
     REFUSED = 4
@@ -18,7 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Result:
-    """Hold what a command prints and its exit status."""
+    """Hold the output of a command and its exit status.
+
+    ``lines`` go to standard output, ``problems`` to standard error.
+    """
 
     lines: tuple[str, ...] = ()
     problems: tuple[str, ...] = ()
