--- a/packages/savoryyoke-gateway/savoryyoke_gateway/application.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/application.py
@@ -15,10 +15,12 @@
     whether new requests are refused.
     """
 
-    def __init__(self, *, forwarder, translator, knowledge, stopping, clock):
+    def __init__(
+        self, *, forwarder, translator, published_state, stopping, clock
+    ):
         self._forwarder = forwarder
         self._translator = translator
-        self._knowledge = knowledge
+        self._published_state = published_state
         self._stopping = stopping
         self._clock = clock
         self.in_flight = 0
@@ -77,7 +79,7 @@
                 return bytes(body)
 
     def _body_limit_bytes(self):
-        catalogue = self._knowledge.catalogue
+        catalogue = self._published_state.catalogue
         if catalogue is None:
             return _BODY_LIMIT_BYTES
         return catalogue.caller_limits.body_bytes
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/daemon.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/daemon.py
@@ -20,9 +20,9 @@
 from savoryyoke_gateway import exceptions
 from savoryyoke_gateway import following
 from savoryyoke_gateway import forwarder
-from savoryyoke_gateway import knowledge
 from savoryyoke_gateway import metrics
 from savoryyoke_gateway import peering
+from savoryyoke_gateway import published_state
 from savoryyoke_gateway import reloading
 from savoryyoke_gateway import retrying
 from savoryyoke_gateway import serving
@@ -38,8 +38,8 @@
 class Gateway:
     """Own the components of one gateway process.
 
-    The attribute ``knowledge`` holds the published values, ``peering`` the
-    exchange with the other entries.
+    The attribute ``published_state`` holds the published values, ``peering``
+    the exchange with the other entries.
 
     ``settings`` is a ``ports.GatewaySettings``; ``source``, ``interpreter``
     and ``translator`` are described in ``ports``. ``read_settings()`` reads
@@ -78,7 +78,7 @@
         self._crashes = crashes.CrashWatch(
             suspects=self._suspects, metrics=self._metrics, clock=clock
         )
-        self.knowledge = knowledge.Knowledge(
+        self.published_state = published_state.PublishedState(
             interpreter=interpreter,
             clock=clock,
             on_change=self._apply_publication,
@@ -90,7 +90,7 @@
         )
         self.peering = peering.Peering(
             settings=settings,
-            knowledge=self.knowledge,
+            published_state=self.published_state,
             dispatching=self._dispatching,
             suspects=self._suspects,
             get_entry_state=self._get_entry_state,
@@ -101,7 +101,7 @@
         )
         self._follower = following.Follower(
             source=source,
-            knowledge=self.knowledge,
+            published_state=self.published_state,
             metrics=self._metrics,
             choose_read_pause_s=self._choose_read_pause_s,
             choose_long_poll_s=lambda: published_pacing.choose_long_poll_s(
@@ -111,7 +111,7 @@
         )
         self._application = application.ForwardingApplication(
             forwarder=forwarder.Forwarder(
-                knowledge=self.knowledge,
+                published_state=self.published_state,
                 dispatching=self._dispatching,
                 allowances=self._allowances,
                 translator=translator,
@@ -122,7 +122,7 @@
                 clock=clock,
             ),
             translator=translator,
-            knowledge=self.knowledge,
+            published_state=self.published_state,
             stopping=self._stopping,
             clock=clock,
         )
@@ -241,14 +241,14 @@
         )
         self._allowances.set_entry_count(entry_count)
         closed_data_centres = publication.closed_data_centres
-        self._dispatching.publish(
+        self._dispatching.update_targets(
             services_by_name=catalogue.services_by_name,
             targets=[
                 target
                 for target in publication.targets
                 if target.data_centre not in closed_data_centres
             ],
-            entries=entry_count,
+            entry_count=entry_count,
         )
 
     def _choose_read_pause_s(self):
@@ -256,12 +256,12 @@
             entry_count=self.peering.table.max_entry_count,
             is_settled=all(
                 target.is_in_service and not target.is_draining
-                for target in self.knowledge.publication.targets
+                for target in self.published_state.publication.targets
             ),
         )
 
     def _has_usable_publication(self):
-        publication = self.knowledge.publication
+        publication = self.published_state.publication
         return publication.catalogue is not None and bool(publication.targets)
 
     def _get_entry_state(self):
@@ -305,11 +305,11 @@
                 ),
                 'published_revision': (
                     'Revision of the view of published values.',
-                    lambda: self.knowledge.as_of,
+                    lambda: self.published_state.as_of,
                 ),
                 'published_age_seconds': (
                     'Age of the view of published values.',
-                    lambda: self.knowledge.stamp().age_s or 0.0,
+                    lambda: self.published_state.stamp().age_s or 0.0,
                 ),
             }
         )
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/dispatching.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/dispatching.py
@@ -44,10 +44,10 @@
         self._waiters_by_id = {}
         self._unusable_pause_ids = set()
 
-    def publish(self, *, services_by_name, targets, entries):
+    def update_targets(self, *, services_by_name, targets, entry_count):
         """Replace services and targets.
 
-        ``entries`` is the number of entries that share the request rate of
+        ``entry_count`` is the number of entries that share the request rate of
         a cold target.
         """
         self._unusable_pause_ids &= {target.target_id for target in targets}
@@ -60,7 +60,7 @@
             service = services_by_name.get(name)
             service_dispatcher = self._find_or_create(name, service)
             service_dispatcher.pool.set_cold_rate(
-                _compute_cold_rate_share(service, entries)
+                _compute_cold_rate_share(service, entry_count)
             )
             self._apply(
                 service_dispatcher,
@@ -295,8 +295,8 @@
     )
 
 
-def _compute_cold_rate_share(service, entries):
+def _compute_cold_rate_share(service, entry_count):
     if service is None or service.cold_limit is None:
         return None
     total_per_s = service.cold_limit.rate_per_s * placement_conf.COLD_SHARE
-    return total_per_s / entries
+    return total_per_s / entry_count
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/following.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/following.py
@@ -11,7 +11,7 @@
 
 
 class Follower:
-    """Keep ``knowledge`` up to date with the published values.
+    """Keep ``published_state`` up to date with the platform.
 
     Every entry reads the platform itself, so that an entry which its peers
     can't reach still uses the newest configuration.
@@ -21,7 +21,7 @@
         self,
         *,
         source,
-        knowledge,
+        published_state,
         metrics,
         choose_read_pause_s,
         choose_long_poll_s,
@@ -33,7 +33,7 @@
         read waits for a change.
         """
         self._source = source
-        self._knowledge = knowledge
+        self._published_state = published_state
         self._metrics = metrics
         self._choose_read_pause_s = choose_read_pause_s
         self._choose_long_poll_s = choose_long_poll_s
@@ -53,7 +53,7 @@
                 self._record_outage(error)
                 await anyio.sleep(conf.SOURCE_RETRY_DELAY_S)
             else:
-                if reading is not None and self._take_in(reading):
+                if reading is not None and self._apply_reading(reading):
                     await anyio.sleep(self._choose_read_pause_s())
 
     async def _read(self):
@@ -66,7 +66,7 @@
                 if wait_s > published_conf.LONG_POLL_S:
                     self._long_poll_scope = scope
                 reading = await self._source.read_changes(
-                    after=self._knowledge.as_of, wait_s=wait_s
+                    after=self._published_state.as_of, wait_s=wait_s
                 )
         finally:
             self._long_poll_scope = None
@@ -84,9 +84,9 @@
         self._long_poll_scope = None
         return True
 
-    def _take_in(self, reading):
+    def _apply_reading(self, reading):
         """Apply a reading; return whether the revision has changed."""
-        previous_as_of = self._knowledge.as_of
+        previous_as_of = self._published_state.as_of
         self._metrics.count_reading('ok')
         after_outage = self._is_source_lost
         if after_outage:
@@ -94,16 +94,16 @@
             logs.write_event('platform_regained', as_of=reading.as_of)
         is_snapshot = isinstance(reading, models.Snapshot)
         has_gap = not is_snapshot and self._has_revision_gap(reading)
-        self._knowledge.take_in(
+        self._published_state.apply(
             reading, source='platform', after_outage=after_outage
         )
         self._needs_snapshot = has_gap
-        return self._knowledge.as_of != previous_as_of
+        return self._published_state.as_of != previous_as_of
 
     def _has_revision_gap(self, changes):
         """Return whether the revision changed although no item did."""
         has_changes = changes.items or changes.removed_keys
-        return changes.as_of != self._knowledge.as_of and not has_changes
+        return changes.as_of != self._published_state.as_of and not has_changes
 
     def _record_outage(self, error):
         self._metrics.count_reading('failed')
@@ -114,5 +114,5 @@
                 'platform_lost',
                 level='warning',
                 reason=str(error),
-                as_of=self._knowledge.as_of,
+                as_of=self._published_state.as_of,
             )
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/forwarder.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/forwarder.py
@@ -40,7 +40,7 @@
     def __init__(
         self,
         *,
-        knowledge,
+        published_state,
         dispatching,
         allowances,
         translator,
@@ -50,7 +50,7 @@
         random_fraction,
         clock,
     ):
-        self._knowledge = knowledge
+        self._published_state = published_state
         self._dispatching = dispatching
         self._allowances = allowances
         self._suspects = suspects
@@ -59,7 +59,7 @@
         self._random_fraction = random_fraction
         self._clock = clock
         self._reporter = reporting.CallReporter(
-            knowledge=knowledge,
+            published_state=published_state,
             dispatching=dispatching,
             metrics=metrics,
             clock=clock,
@@ -85,7 +85,7 @@
 
         ``arrived_s`` is the time on the clock at which the request arrived.
         """
-        catalogue = self._knowledge.catalogue
+        catalogue = self._published_state.catalogue
         if catalogue is None:
             await self._reject(request, channel, 503, 'no-configuration')
             return
@@ -280,7 +280,7 @@
             return None
         if self._is_quarantined(call):
             return None
-        if decision.is_repeat and not self._allowances.covers_one(
+        if decision.is_repeat and not self._allowances.has_token(
             call.service_name
         ):
             call.reason = 'retry-limit'
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
@@ -44,7 +44,7 @@
         self,
         *,
         settings,
-        knowledge,
+        published_state,
         dispatching,
         suspects,
         get_entry_state,
@@ -54,7 +54,7 @@
         clock,
     ):
         self._settings = settings
-        self._knowledge = knowledge
+        self._published_state = published_state
         self._dispatching = dispatching
         self._suspects = suspects
         self._get_entry_state = get_entry_state
@@ -108,7 +108,7 @@
                     self._suspects.update_peers(
                         self.table.alive(now_s=self._clock())
                     )
-                    self._knowledge.expire()
+                    self._published_state.expire()
                     self._publish_paces()
                     self._dispatching.tick()
                     await anyio.sleep(self._interval_s())
@@ -185,7 +185,7 @@
             data_centre=self._settings.data_centre,
             is_ready=is_ready,
             is_leaving=is_leaving,
-            published_as_of=self._knowledge.as_of,
+            published_as_of=self._published_state.as_of,
             in_flight=tuple(
                 messages.InFlight(target_id=target_id, requests=requests)
                 for target_id, requests in in_flight.items()
@@ -291,14 +291,14 @@
             await listener.serve(self._serve_copy)
 
     async def _serve_copy(self, stream):
-        await copies.serve_copy(stream, self._knowledge.take_snapshot())
+        await copies.serve_copy(stream, self._published_state.take_snapshot())
 
     async def _copy_when_behind(self):
         while True:
             await anyio.sleep(conf.PEER_COPY_DELAY_S / 3)
             host = table.find_newer_view(
                 self.table.alive(now_s=self._clock()),
-                as_of=self._knowledge.as_of,
+                as_of=self._published_state.as_of,
             )
             if host is None:
                 self._behind_since_s = None
@@ -325,4 +325,4 @@
                 'copy_failed', level='warning', host=host, reason=str(error)
             )
             return
-        self._knowledge.take_in(snapshot, source=host)
+        self._published_state.apply(snapshot, source=host)
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/knowledge.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/published_state.py
@@ -17,7 +17,7 @@
     age_s: float | None
 
 
-class Knowledge:
+class PublishedState:
     """Own this entry's view of the published values.
 
     ``publication`` is its content in decoded form; ``on_change`` is called
@@ -57,7 +57,7 @@
         """Return a snapshot of the whole view, for a peer."""
         return self._view.take_snapshot()
 
-    def take_in(self, reading, *, source, after_outage=False):
+    def apply(self, reading, *, source, after_outage=False):
         """Apply a reading, which is a ``Snapshot`` or ``Changes``.
 
         ``source`` names its origin, for the log. ``after_outage`` is true
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/reporting.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/reporting.py
@@ -8,15 +8,15 @@
 class CallReporter:
     """Write the log lines and metrics of one entry's requests."""
 
-    def __init__(self, *, knowledge, dispatching, metrics, clock):
-        self._knowledge = knowledge
+    def __init__(self, *, published_state, dispatching, metrics, clock):
+        self._published_state = published_state
         self._dispatching = dispatching
         self._metrics = metrics
         self._clock = clock
 
     def report_rejection(self, request, *, status, reason):
         """Report a request that was answered without any target."""
-        stamp = self._knowledge.stamp()
+        stamp = self._published_state.stamp()
         logs.write_event(
             'request_turned_away',
             request=request.request_id,
@@ -33,7 +33,7 @@
 
     def report_placement(self, call, placement):
         """Report the choice of a target."""
-        stamp = self._knowledge.stamp()
+        stamp = self._published_state.stamp()
         logs.write_event(
             'target_chosen',
             request=call.request.request_id,
@@ -91,7 +91,7 @@
             waited_s=call.waited_s,
             took_s=duration_s,
             time_left_s=call.request.time_left_s,
-            configuration=self._knowledge.catalogue.version,
+            configuration=self._published_state.catalogue.version,
         )
         self._metrics.count_request(
             service=call.service_name,
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/retrying.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/retrying.py
@@ -52,7 +52,7 @@
         """
         return self._find_budget(service_name).withdraw(now_s=self._clock())
 
-    def covers_one(self, service_name):
+    def has_token(self, service_name):
         """Return whether there is a token for a repeated try."""
         return self._find_budget(service_name).has_token
 
--- a/packages/savoryyoke-gateway/tests/test_dispatching.py
+++ b/packages/savoryyoke-gateway/tests/test_dispatching.py
@@ -60,10 +60,10 @@
                 registry=prometheus_client.CollectorRegistry()
             ),
         )
-        entry.publish(
+        entry.update_targets(
             services_by_name={'s': SERVICE},
             targets=[TARGET],
-            entries=self._entries,
+            entry_count=self._entries,
         )
         return entry
 
--- a/packages/savoryyoke-gateway/tests/test_following.py
+++ b/packages/savoryyoke-gateway/tests/test_following.py
@@ -29,25 +29,28 @@
         return models.Changes(as_of=after + 1, items=(), removed_keys=())
 
 
-class View:
+class FakePublishedState:
     """Replace the published values of an entry."""
 
     def __init__(self):
         self.as_of = 0
 
-    def take_in(self, reading, *, source, after_outage):
+    def apply(self, reading, *, source, after_outage):
         self.as_of = max(self.as_of, reading.as_of)
 
 
 class RestartTests(unittest.TestCase):
     def follow(self, *, wait_s, scenario):
-        """Run ``scenario(follower, source, view)`` while a follower runs."""
+        """Run ``scenario`` while a follower reads.
+
+        Its arguments are the follower, the source and the published state.
+        """
 
         async def run():
-            source, view = SilentSource(), View()
+            source, published_state = SilentSource(), FakePublishedState()
             follower = following.Follower(
                 source=source,
-                knowledge=view,
+                published_state=published_state,
                 metrics=metrics.GatewayMetrics(
                     registry=prometheus_client.CollectorRegistry()
                 ),
@@ -59,23 +62,23 @@
                 with anyio.fail_after(5.0):
                     while not source.waits_s:
                         await anyio.sleep(0.01)
-                    await scenario(follower, source, view)
+                    await scenario(follower, source, published_state)
                 group.cancel_scope.cancel()
 
         anyio.run(run)
 
     def test_long_poll_is_restarted(self):
-        async def scenario(follower, source, view):
+        async def scenario(follower, source, published_state):
             source.is_silent = False
             self.assertTrue(follower.restart_long_poll())
-            while view.as_of < 2:
+            while published_state.as_of < 2:
                 await anyio.sleep(0.01)
             self.assertGreaterEqual(len(source.waits_s), 2)
 
         self.follow(wait_s=20.0, scenario=scenario)
 
     def test_short_poll_is_not_restarted(self):
-        async def scenario(follower, source, view):
+        async def scenario(follower, source, published_state):
             self.assertFalse(follower.restart_long_poll())
             await anyio.sleep(0.05)
             self.assertEqual(1, len(source.waits_s))
--- a/packages/savoryyoke-soak/savoryyoke_soak/mutants.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/mutants.py
@@ -29,7 +29,7 @@
 
     ledger.RequestLedger.__init__ = start_repeatable
     # Other requests spend the retry limit, which would hide most repeats.
-    retrying.RetryAllowances.covers_one = lambda self, service_name: True
+    retrying.RetryAllowances.has_token = lambda self, service_name: True
 
 
 def _deny_runs():
@@ -63,21 +63,21 @@
 
 def _stay_behind():
     """Read the platform once and never again."""
-    take_in = following.Follower._take_in
+    take_in = following.Follower._apply_reading
 
     def take_in_once(self, reading):
-        if not self._knowledge.as_of:
+        if not self._published_state.as_of:
             return take_in(self, reading)
         return False
 
-    following.Follower._take_in = take_in_once
+    following.Follower._apply_reading = take_in_once
 
 
 def _keep_leaving_targets():
     """Send work to targets that leave."""
-    publish = dispatching.Dispatching.publish
+    publish = dispatching.Dispatching.update_targets
 
-    def publish_all(self, *, services_by_name, targets, entries):
+    def publish_all(self, *, services_by_name, targets, entry_count):
         kept = getattr(self, 'kept', {})
         for target in targets:
             kept.setdefault(target.target_id, target)
@@ -86,10 +86,10 @@
             self,
             services_by_name=services_by_name,
             targets=list(kept.values()),
-            entries=entries,
+            entry_count=entry_count,
         )
 
-    dispatching.Dispatching.publish = publish_all
+    dispatching.Dispatching.update_targets = publish_all
 
 
 def _ignore_notices():
