--- a/packages/savoryyoke-gateway/savoryyoke_gateway/exchanges.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/exchanges.py
@@ -13,7 +13,7 @@
 class _BoundedStream(httpcore.AsyncNetworkStream):
     """Limit the bytes read from a connection before the answer's head ends.
 
-    The HTTP library skips any number of informational answers before it.
+    The HTTP library sets no limit on the informational answers before it.
     """
 
     def __init__(self, stream):
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
@@ -19,8 +19,8 @@
 from savoryyoke_wire import fleet
 from savoryyoke_wire import group as wire_group
 
-# Fields that a too large heartbeat omits, in this order. Those that peers also
-# receive in other ways come first.
+# Fields that an oversized heartbeat omits, in this order. Those that peers
+# receive in other ways too come first.
 _OMISSION_ORDER = (
     'crashes',
     'leaving_targets',
@@ -35,9 +35,9 @@
 
     ``get_entry_state()`` returns whether this entry is ready, whether it is
     leaving, and its requests in flight by target id.
-    ``choose_read_pause_s()`` returns the pause between two reads of the
-    platform. ``restart_long_poll()`` cancels a long poll of the platform
-    and returns whether there was one.
+    ``choose_read_pause_s()`` returns the pause in seconds between a change
+    and the next read of the platform. ``restart_long_poll()`` cancels a
+    long poll of the platform and returns whether there was one.
     """
 
     def __init__(
--- a/packages/savoryyoke-gateway/savoryyoke_gateway/requests.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/requests.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TryTerms:
-    """Hold the values that are set anew in each request to a target.
+    """Hold the values that the gateway sets in a request to a target.
 
     ``time_left_s`` is the time after which the target should stop work.
     """
--- a/packages/savoryyoke-gateway/tests/test_dispatching.py
+++ b/packages/savoryyoke-gateway/tests/test_dispatching.py
@@ -107,7 +107,7 @@
 
 class ColdTargetTests(unittest.TestCase):
     def play(self, entries):
-        """Return the largest number within a second and the total."""
+        """Return the most requests within a second and their total."""
         fleet = Fleet(entries=entries)
         anyio.run(fleet.run)
         return fleet.most_in_a_second(), len(fleet.sent_s)
@@ -124,7 +124,7 @@
                 most, _ = self.play(entries)
                 self.assertLessEqual(most, LIMIT)
 
-    def test_more_than_half_of_the_allowed_rate_is_used(self):
+    def test_more_than_half_of_the_rate_is_used(self):
         for entries in (8, 43, 80, 350):
             with self.subTest(entries=entries):
                 _, total = self.play(entries)
