--- a/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
+++ b/packages/savoryyoke-gateway/savoryyoke_gateway/peering.py
@@ -291,7 +291,9 @@
             await listener.serve(self._serve_snapshot)
 
     async def _serve_snapshot(self, stream):
-        await snapshots.send_snapshot(stream, self._published_state.take_snapshot())
+        await snapshots.send_snapshot(
+            stream, self._published_state.take_snapshot()
+        )
 
     async def _copy_when_behind(self):
         while True:
