--- a/packages/savoryyoke/savoryyoke/calls/attempts/__init__.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/__init__.py
@@ -1,5 +1,5 @@
-"""Carry a caller's attempt of a non-idempotent call through an entry.
+"""Forward a caller's attempt of a non-idempotent call from an entry.
 
 ``machine`` is the state machine of one attempt, ``pauses`` detects that the
-entry was frozen, and ``carried`` remembers answers the entry has passed on.
+entry was paused, and ``carried`` keeps the answers that it has forwarded.
 """
--- a/packages/savoryyoke/savoryyoke/calls/attempts/carried.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/carried.py
@@ -1,4 +1,4 @@
-"""Remember the answers that an entry has passed on."""
+"""Keep the answers that an entry has forwarded."""
 
 import collections
 import dataclasses
@@ -8,17 +8,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CarriedAnswer:
-    """Hold the true outcome of a call that ran."""
+    """Hold the outcome of a call that ran and its request's fingerprint."""
 
     fingerprint: bytes
     outcome: outcomes.Ran
 
 
 class CarriedAnswers:
-    """Keep the newest answers within limits of number and bytes.
+    """Keep the newest answers, limited in number and in bytes.
 
-    That a call ran stays true for ever, so a copy may be repeated when the
-    authority over the key is gone.
+    The answer of a call that ran never changes, so an entry may repeat it
+    after the process that ran the call is gone.
     """
 
     def __init__(self, *, limits):
@@ -27,20 +27,23 @@
         self._answers_by_key = collections.OrderedDict()
         self.total_bytes = 0
 
-    def remember(self, *, key, fingerprint, outcome):
-        """Keep ``outcome`` if it is a whole answer."""
+    def add(self, *, key, fingerprint, outcome):
+        """Keep ``outcome`` if it is ``Ran``; ignore it otherwise."""
         if not isinstance(outcome, outcomes.Ran):
             return
-        self._forget(key)
+        self._remove(key)
         self._answers_by_key[key] = CarriedAnswer(
             fingerprint=fingerprint, outcome=outcome
         )
         self.total_bytes += outcome.answer.size_bytes
         while self._is_over_limits():
-            self._forget(next(iter(self._answers_by_key)))
+            self._remove(next(iter(self._answers_by_key)))
 
-    def recall(self, *, key, fingerprint):
-        """Return the outcome kept for the same request, or None."""
+    def find(self, *, key, fingerprint):
+        """Return the outcome kept for ``key``, or None.
+
+        The outcome is ``Rejected`` if another request used the key.
+        """
         carried = self._answers_by_key.get(key)
         if carried is None:
             return None
@@ -56,7 +59,7 @@
             or self.total_bytes > self._limit_bytes
         )
 
-    def _forget(self, key):
+    def _remove(self, key):
         carried = self._answers_by_key.pop(key, None)
         if carried is not None:
             self.total_bytes -= carried.outcome.answer.size_bytes
--- a/packages/savoryyoke/savoryyoke/calls/attempts/decisions.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/decisions.py
@@ -1,4 +1,4 @@
-"""Define the decisions that an attempt returns."""
+"""Define the decisions that the state machine of an attempt returns."""
 
 import dataclasses
 
@@ -15,6 +15,6 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Deliver:
-    """Answer the caller, at once and for good."""
+    """Send the caller the final ``outcome``."""
 
     outcome: object
--- a/packages/savoryyoke/savoryyoke/calls/attempts/events.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/events.py
@@ -1,4 +1,4 @@
-"""Define the events that an attempt takes."""
+"""Define the events that the state machine of an attempt handles."""
 
 import dataclasses
 
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Redirected:
-    """Report that message ``number`` is to go to ``heir`` instead."""
+    """Report that message ``number`` must be sent to ``heir`` instead."""
 
     number: int
     heir: snapshots.Heir
@@ -28,9 +28,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetUnreachable:
-    """Report that the target of message ``number`` can't answer it.
+    """Report that the target of message ``number`` can't be reached.
 
-    ``heir`` is the process that answers instead, when one is known.
+    ``heir`` is the process that took over its ledger, if one is known.
     """
 
     number: int
@@ -44,4 +44,4 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Report that time has passed; due at ``Attempt.wakes_s``."""
+    """Report that the time ``Attempt.wakes_s`` has been reached."""
--- a/packages/savoryyoke/savoryyoke/calls/attempts/machine.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/machine.py
@@ -1,4 +1,4 @@
-"""Decide what an entry does with one attempt of a caller."""
+"""Provide the state machine of one attempt at an entry."""
 
 import enum
 import functools
@@ -20,12 +20,12 @@
 
 
 class Attempt:
-    """Hold one attempt from the caller's request to the one answer.
+    """Process one attempt from the caller's request to its only answer.
 
     ``stamp_ms`` is the newest stamp of the key's incarnation that the entry
-    held when the request was read; ``is_doubtful`` says that the request may
-    have arrived before a pause of the entry. ``wakes_s`` is the time of the
-    next tick.
+    had received when it read the request; ``is_doubtful`` says that the
+    request may have arrived before a pause of the entry. ``deadline_s`` and
+    ``wakes_s``, the time of the next tick, are monotonic times.
     """
 
     def __init__(
@@ -45,7 +45,9 @@
         self.key = key
         self.fingerprint = fingerprint
         self._target_id = target_id
-        self._stamp_ms = _find_surely_held_ms(stamp_ms, is_doubtful, limits)
+        self._stamp_ms = _find_stamp_before_arrival_ms(
+            stamp_ms, is_doubtful, limits
+        )
         self._deadline_s = deadline_s
         self._carried = carried
         self._limits = limits
@@ -56,7 +58,7 @@
 
     @property
     def wakes_s(self):
-        """Return when the next tick is due, or None once it has ended."""
+        """Return the time of the next tick, or None after the end."""
         if self._phase is _Phase.ENDED:
             return None
         if self._phase is _Phase.SEALING:
@@ -65,7 +67,10 @@
 
     @functools.singledispatchmethod
     def apply(self, event, *, now_s):
-        """Return the decisions that follow from ``event``."""
+        """Return a tuple of decisions for ``event`` at ``now_s``.
+
+        Raises ``UnknownEvent`` for an event of another type.
+        """
         raise exceptions.UnknownEvent(event=event)
 
     @apply.register
@@ -80,10 +85,10 @@
         if isinstance(outcome, outcomes.NotRun):
             return self._confirm_not_run(event, now_s)
         if isinstance(outcome, outcomes.MayHaveRun):
-            return self._deliver_doubt(outcome.reason)
+            return self._deliver_may_have_run(outcome.reason)
         if isinstance(outcome, outcomes.RanWithoutAnswer):
-            return self._deliver(self._recall() or outcome)
-        self._carried.remember(
+            return self._deliver(self._find_forwarded_answer() or outcome)
+        self._carried.add(
             key=self.key, fingerprint=self.fingerprint, outcome=outcome
         )
         return self._deliver(outcome)
@@ -92,7 +97,7 @@
     def _(self, event: events.Redirected, *, now_s):
         if self._is_stale(event):
             return ()
-        return self._follow(event, now_s)
+        return self._redirect(event, now_s)
 
     @apply.register
     def _(self, event: events.TargetUnreachable, *, now_s):
@@ -100,8 +105,8 @@
             return ()
         heir = event.heir
         if heir is not None and heir.target_id != self._target_id:
-            return self._follow(event, now_s)
-        return self._deliver_doubt(_MayHaveRunReason.TARGET_UNREACHABLE)
+            return self._redirect(event, now_s)
+        return self._deliver_may_have_run(_MayHaveRunReason.TARGET_UNREACHABLE)
 
     @apply.register
     def _(self, event: events.CallerLeft, *, now_s):
@@ -121,7 +126,7 @@
         sent = () if was_sealing else self._send(now_s)
         if now_s < self._deadline_s:
             return sent
-        return (*sent, *self._deliver_doubt(_MayHaveRunReason.DEADLINE))
+        return (*sent, *self._deliver_may_have_run(_MayHaveRunReason.DEADLINE))
 
     def _is_stale(self, event):
         return (
@@ -151,11 +156,11 @@
             )
         return (decisions.Send(target_id=self._target_id, message=message),)
 
-    def _follow(self, event, now_s):
+    def _redirect(self, event, now_s):
         del self._sent_s_by_number[event.number]
         self._redirect_count += 1
         if self._redirect_count > self._limits.redirect_limit:
-            return self._deliver_doubt(_MayHaveRunReason.REDIRECT_LIMIT)
+            return self._deliver_may_have_run(_MayHaveRunReason.REDIRECT_LIMIT)
         self._target_id = event.heir.target_id
         return self._send(now_s)
 
@@ -164,30 +169,30 @@
         elapsed_s *= 1 + self._limits.clock_drift
         if elapsed_s <= event.outcome.holds_for_s:
             return self._deliver(event.outcome)
-        # Attempts that arrived since the seal may run: seal again.
+        # The seal has expired, so later attempts may run: seal again.
         if now_s >= self._deadline_s:
-            return self._deliver_doubt(_MayHaveRunReason.DEADLINE)
+            return self._deliver_may_have_run(_MayHaveRunReason.DEADLINE)
         self._phase = _Phase.SEALING
         return self._send(now_s)
 
-    def _recall(self):
-        return self._carried.recall(key=self.key, fingerprint=self.fingerprint)
+    def _find_forwarded_answer(self):
+        return self._carried.find(key=self.key, fingerprint=self.fingerprint)
 
-    def _deliver_doubt(self, reason):
-        doubt = outcomes.MayHaveRun(reason=reason)
-        return self._deliver(self._recall() or doubt)
+    def _deliver_may_have_run(self, reason):
+        may_have_run = outcomes.MayHaveRun(reason=reason)
+        return self._deliver(self._find_forwarded_answer() or may_have_run)
 
     def _deliver(self, outcome):
         self._phase = _Phase.ENDED
         return (decisions.Deliver(outcome=outcome),)
 
 
-def _find_surely_held_ms(stamp_ms, is_doubtful, limits):
-    """Return a stamp from before the request's true arrival, in ms.
+def _find_stamp_before_arrival_ms(stamp_ms, is_doubtful, limits):
+    """Return a stamp, in ms, that is older than the request's arrival.
 
-    After a pause the stamps held may all be newer than the arrival; then
-    only the window of the key bounds it, which the ledger looks at itself.
-    Pauses too short to be detected are allowed for.
+    After a pause all stamps received may be newer than the arrival. The
+    result is then 0, and the ledger uses the start of the key's window. A
+    pause too short to be detected is covered by subtracting the threshold.
     """
     if is_doubtful:
         return 0
--- a/packages/savoryyoke/savoryyoke/calls/attempts/pauses.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/pauses.py
@@ -2,22 +2,23 @@
 
 
 class PauseMonitor:
-    """Hold whether requests may have waited unseen while we were paused.
+    """Detect whether requests may have waited during a pause.
 
     Call ``observe`` with the monotonic time whenever the process wakes, and
-    at least every half ``threshold_s``. After a longer gap the process is in
-    doubt for ``doubt_s``, in which it empties what has queued up.
+    at least every half ``threshold_s``. A gap longer than ``threshold_s``
+    counts as a pause. Requests read in the ``doubt_s`` after it may have
+    arrived before the pause.
     """
 
     def __init__(self, *, now_s, threshold_s, doubt_s):
-        self._last_s = now_s
+        self._last_observed_s = now_s
         self._threshold_s = threshold_s
-        self._doubt_s = doubt_s
-        self._doubt_ends_s = now_s
+        self._recovery_s = doubt_s
+        self._recovery_ends_s = now_s
 
     def observe(self, *, now_s):
-        """Return whether the process is in doubt."""
-        if now_s - self._last_s > self._threshold_s:
-            self._doubt_ends_s = now_s + self._doubt_s
-        self._last_s = now_s
-        return now_s < self._doubt_ends_s
+        """Return whether requests read now may predate a pause."""
+        if now_s - self._last_observed_s > self._threshold_s:
+            self._recovery_ends_s = now_s + self._recovery_s
+        self._last_observed_s = now_s
+        return now_s < self._recovery_ends_s
--- a/packages/savoryyoke/savoryyoke/calls/conf.py
+++ b/packages/savoryyoke/savoryyoke/calls/conf.py
@@ -1,4 +1,4 @@
-"""Hold the defaults of non-idempotent calls in one place."""
+"""Define the default limits of non-idempotent calls."""
 
 import dataclasses
 
@@ -11,9 +11,12 @@
 
     Keys are accepted for ``accept_windows`` windows and their records are
     kept for ``record_windows`` windows of ``window_ms``. A seal voids every
-    attempt that arrives within ``seal_hold_ms`` after it and its record is
-    folded into a floor after ``seal_fold_ms``, or ``seal_early_fold_ms``
-    when room is short.
+    attempt that arrives within ``seal_hold_ms`` after it. After
+    ``seal_fold_ms`` the record of a seal is dropped and the seal floor of
+    its incarnation is raised instead; when the ledger is full, that happens
+    after ``seal_early_fold_ms``. ``table_limit`` bounds the incarnations
+    that one process keeps records of and ``parked_limit`` the messages that
+    wait for the end of an export.
     """
 
     window_ms: int = 30_000
@@ -24,7 +27,7 @@
     seal_early_fold_ms: int = 5_000
     retry_after_s: float = 2.0
     record_limit: int = 50_000
-    book_limit: int = 16
+    table_limit: int = 16
     attempts_per_key_limit: int = 8
     answer_limit_bytes: int = 64 * 1024
     answers_limit_bytes: int = 16 * 1024 * 1024
@@ -37,8 +40,10 @@
 
     A seal is requested ``seal_margin_s`` before the deadline. The clocks of
     two processes drift apart by at most ``clock_drift`` (a ratio). A pause
-    longer than ``pause_threshold_s`` is detected and puts the entry in doubt
-    for ``pause_doubt_s``.
+    of the entry longer than ``pause_threshold_s`` is detected; requests read
+    in the ``pause_doubt_s`` after it may have arrived before the pause.
+    ``carried_limit`` and ``carried_limit_bytes`` bound the answers that an
+    entry keeps.
     """
 
     seal_margin_s: float = 0.05
--- a/packages/savoryyoke/savoryyoke/calls/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/calls/exceptions.py
@@ -2,7 +2,7 @@
 
 
 class CallError(Exception):
-    """Serve as the base of all errors of this package."""
+    """Serve as the base class of the errors of this package."""
 
 
 class InvalidKey(CallError):
@@ -22,7 +22,7 @@
 
 
 class UnexpectedEvent(CallError):
-    """Report an event that a call's present phase does not allow."""
+    """Report an event that the current phase of a call does not allow."""
 
     def __init__(self, *, event, phase):
         super().__init__(f'{type(event).__name__} in phase {phase}')
--- a/packages/savoryyoke/savoryyoke/calls/keys.py
+++ b/packages/savoryyoke/savoryyoke/calls/keys.py
@@ -1,7 +1,7 @@
 """Bind the key of a non-idempotent call to one incarnation of one target.
 
 The text form is ``sy1~target~incarnation~window~suffix``. The caller gets
-the first four parts as a binding and adds a suffix of its own.
+the first four parts as a binding and appends ``~`` and a unique suffix.
 """
 
 import dataclasses
@@ -30,10 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Binding:
-    """Name the process that may run the keys made from this binding.
+    """Identify the process that may run the keys made from this binding.
 
-    ``incarnation`` is the random 64-bit number of the process and
-    ``window`` counts windows of that process's own monotonic time.
+    ``incarnation`` is the random 64-bit number of the process. ``window``
+    is the number of the window in which the binding was issued, counted on
+    the monotonic clock of that process.
     """
 
     service: str
@@ -101,10 +102,10 @@
 
 
 def parse(text):
-    """Return the ``BoundKey`` of ``text``.
+    """Return the ``BoundKey`` whose text form is ``text``.
 
-    Each key has one text only. Raises ``InvalidKey`` for any other text, an
-    unbound key among them.
+    Each key has exactly one text form. Raises ``InvalidKey`` for any other
+    text, also for a key without a binding.
     """
     parts = text.split(_SEPARATOR)
     if len(parts) != 5 or parts[0] != _VERSION:
--- a/packages/savoryyoke/savoryyoke/calls/ledger/__init__.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/__init__.py
@@ -1,6 +1,7 @@
-"""Keep the one authority over the keys bound to a target process.
+"""Decide on the keys bound to a target process and record the results.
 
-``authority`` is the state machine; it takes ``events`` and returns
-``decisions``. ``books`` hold the records of one incarnation each and
-``snapshots`` carry them to the heir of a target that is leaving.
+``authority`` is the state machine; it handles ``events`` and returns
+``decisions``, following ``rules``. ``store`` keeps one of the ``tables`` for
+each incarnation, with its ``records``. ``handover`` moves the authority to
+the heir of a target that is leaving, in ``snapshots``.
 """
--- a/packages/savoryyoke/savoryyoke/calls/ledger/decisions.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/decisions.py
@@ -10,7 +10,7 @@
 class Admit:
     """Put the call into the queue of the application.
 
-    ``attempt_id`` is the attempt that brought it.
+    ``attempt_id`` identifies the attempt that requested it.
     """
 
     key: keys.BoundKey
@@ -19,21 +19,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Abandon:
-    """Take the call out of the queue; it must not be handed over."""
+    """Remove the call from the queue; it must not be handed over."""
 
     key: keys.BoundKey
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HandOver:
-    """Send the call to the application now; there is no way back."""
+    """Send the call to the application now; it can't be withdrawn later."""
 
     key: keys.BoundKey
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Respond:
-    """Answer message ``number`` of an attempt with its outcome."""
+    """Answer message ``number`` of an attempt with ``outcome``."""
 
     attempt_id: str
     number: int
@@ -42,9 +42,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Redirect:
-    """Tell the entry to send message ``number`` to the heir instead.
+    """Make the entry send message ``number`` to the heir instead.
 
-    ``stamp_ms`` is the last stamp given out before the authority moved.
+    ``stamp_ms`` is the last stamp sent before the authority moved.
     """
 
     attempt_id: str
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ExportSnapshot:
-    """Send the snapshot to the heir, again until it is acknowledged."""
+    """Send the snapshot to the heir until the heir acknowledges it."""
 
     heir: snapshots.Heir
     snapshot: snapshots.Snapshot
@@ -63,9 +63,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NameHeir:
-    """Tell the heir and all entries that the authority has moved.
+    """Notify the heir and all entries that the authority has moved.
 
-    ``stamps_by_incarnation`` holds the last stamp of each book, in ms.
+    ``stamps_by_incarnation`` holds the last stamps sent, in ms.
     """
 
     heir: snapshots.Heir
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AcknowledgeImport:
-    """Tell the sender of a snapshot that it is held."""
+    """Notify the sender of a snapshot that it was imported."""
 
     source_incarnation: int
     export_number: int
@@ -84,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RefuseImport:
-    """Tell the sender of a snapshot to look for another heir."""
+    """Notify the sender of a snapshot that it needs another heir."""
 
     source_incarnation: int
     export_number: int
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TransferRecord:
-    """Send the heir the end of a call that was in progress."""
+    """Send the heir the final record of a call that was in progress."""
 
     heir: snapshots.Heir
     record: snapshots.RecordCopy
--- a/packages/savoryyoke/savoryyoke/calls/ledger/events.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/events.py
@@ -1,4 +1,4 @@
-"""Define the events that a ledger takes."""
+"""Define the events that a ledger handles."""
 
 import dataclasses
 
@@ -9,12 +9,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Offered:
-    """Report that an entry offers an attempt of a call.
+    """Report an attempt of a call that an entry has sent.
 
-    ``stamp_ms`` is the newest stamp of the ledger that the entry surely held
-    when the caller's request arrived; ``number`` counts the messages of the
-    attempt and comes back in the response. ``fingerprint`` hashes the team,
-    the service and the request.
+    ``stamp_ms`` is a stamp of the ledger that the entry had certainly
+    received when the caller's request arrived. ``number`` counts the messages
+    of the attempt and is repeated in the response. ``fingerprint`` is a hash
+    of the team, the service and the request. ``remaining_s`` is the time
+    left until the deadline of the attempt.
     """
 
     key: keys.BoundKey
@@ -27,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SealRequested:
-    """Report that an attempt no longer wants its call to run."""
+    """Report that an attempt asks to seal its key, so that it won't run."""
 
     key: keys.BoundKey
     fingerprint: bytes
@@ -52,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HandOverFailed:
-    """Report that the application provably received no byte of a call."""
+    """Report that the application certainly received no byte of a call."""
 
     key: keys.BoundKey
 
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Completed:
-    """Report the application's whole answer to a call."""
+    """Report the complete answer of the application to a call."""
 
     key: keys.BoundKey
     answer: outcomes.Answer
@@ -74,26 +75,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Report that time has passed; due about once a second."""
+    """Report that time has passed; expected about once a second."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DrainStarted:
-    """Report that this process leaves and that ``heir`` is to take over."""
+    """Report that this process is leaving and ``heir`` takes over."""
 
     heir: snapshots.Heir
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ImportAcknowledged:
-    """Report that the heir holds the snapshot with this number."""
+    """Report that the heir has imported the snapshot of this number."""
 
     export_number: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HeirLost:
-    """Report that the heir refused, died or kept silent for too long."""
+    """Report that the heir refused, ended or did not answer in time."""
 
     export_number: int
 
@@ -105,14 +106,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Inherited:
-    """Report a snapshot sent by a process that leaves."""
+    """Report a snapshot sent by a process that is leaving."""
 
     snapshot: snapshots.Snapshot
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HeirConfirmed:
-    """Report that the sender of a snapshot handed its authority over."""
+    """Report that the sender of a snapshot has handed over its authority."""
 
     source_incarnation: int
     export_number: int
@@ -120,13 +121,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RecordTransferred:
-    """Report the end of a call that the leaving process had in progress."""
+    """Report the final record of a call of the process that is leaving."""
 
     record: snapshots.RecordCopy
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PredecessorLost:
-    """Report that a process which left is gone with calls in progress."""
+    """Report that a process that handed over ended with calls in progress."""
 
     incarnation: int
--- a/packages/savoryyoke/savoryyoke/calls/ledger/handover.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/handover.py
@@ -11,7 +11,7 @@
     """Say who has the authority over keys that are not in progress here.
 
     ``OPEN``: this process. ``EXPORTING``: still this process, but it decides
-    nothing new and gives out no newer stamp. ``DONE``: the heir, for ever.
+    on no new key and sends no newer stamp. ``DONE``: the heir, permanently.
     """
 
     OPEN = 'open'
@@ -20,10 +20,12 @@
 
 
 class Handover:
-    """Hold the state of a planned stop.
+    """Hold the state of the handover at a planned stop.
 
-    The heir is inert until this process names it, so that an export whose
-    acknowledgement is lost may be given up and repeated with another heir.
+    The heir makes no decisions until this process confirms it. An export
+    whose acknowledgement is lost can therefore be cancelled and repeated
+    with another heir. Messages that arrive during an export are parked:
+    they wait for its end, at most ``parked_limit`` of them.
     """
 
     def __init__(self, *, source_incarnation, parked_limit):
@@ -47,23 +49,23 @@
         """Return whether the authority has moved."""
         return self.phase is HandoverPhase.DONE
 
-    def start(self, *, heir, books, now_s):
-        """Return the decision to export ``books`` to ``heir``."""
+    def start_export(self, *, heir, tables, now_s):
+        """Start an export; return the decision to send it to ``heir``."""
         self.phase = HandoverPhase.EXPORTING
         self.heir = heir
         self._export_number += 1
         self.stamps_by_incarnation = {
-            book.incarnation: book.clock_ms(now_s=now_s) for book in books
+            table.incarnation: table.clock_ms(now_s=now_s) for table in tables
         }
         self._confirmed_stamps = {
-            book.incarnation: self.stamps_by_incarnation[book.incarnation]
-            for book in books
-            if book.confirmed
+            table.incarnation: self.stamps_by_incarnation[table.incarnation]
+            for table in tables
+            if table.confirmed
         }
         self._exported_in_progress = dict.fromkeys(
             record
-            for book in books
-            for record in book.records()
+            for table in tables
+            for record in table.records()
             if record.phase in records.IN_PROGRESS
         )
         snapshot = snapshots.Snapshot(
@@ -71,37 +73,37 @@
             source_incarnation=self._source_incarnation,
             export_number=self._export_number,
             books=tuple(
-                book.copy(
-                    stamp_ms=self.stamps_by_incarnation[book.incarnation]
+                table.copy(
+                    stamp_ms=self.stamps_by_incarnation[table.incarnation]
                 )
-                for book in books
+                for table in tables
             ),
         )
         return decisions.ExportSnapshot(heir=heir, snapshot=snapshot)
 
-    def is_awaiting(self, *, export_number):
-        """Return whether the export ``export_number`` is the present one."""
+    def awaits_acknowledgement(self, *, export_number):
+        """Return whether the export ``export_number`` is in progress."""
         return (
             self.phase is HandoverPhase.EXPORTING
             and self._export_number == export_number
         )
 
-    def finish(self):
-        """Move the authority; return what the heir and entries must know."""
+    def move_authority(self):
+        """Move the authority; return the decisions that follow."""
         self.phase = HandoverPhase.DONE
-        name = decisions.NameHeir(
+        name_heir = decisions.NameHeir(
             heir=self.heir,
             source_incarnation=self._source_incarnation,
             export_number=self._export_number,
             stamps_by_incarnation=dict(self._confirmed_stamps),
         )
-        transfers = self.transfer_all()
-        redirects = tuple(self.redirect(event) for event in self._parked)
+        transfers = self.make_transfers()
+        redirects = tuple(self.make_redirect(event) for event in self._parked)
         self._parked = []
-        return (name, *transfers, *redirects)
+        return (name_heir, *transfers, *redirects)
 
-    def give_up(self):
-        """Open again; return the events that were parked meanwhile."""
+    def cancel_export(self):
+        """Return to ``OPEN``; return the events parked during the export."""
         self.phase = HandoverPhase.OPEN
         self.heir = None
         self._exported_in_progress = {}
@@ -110,14 +112,14 @@
         return parked
 
     def park(self, event):
-        """Keep ``event`` until the export ends; return False if full."""
+        """Park ``event``; return False if ``parked_limit`` is reached."""
         if len(self._parked) >= self._parked_limit:
             return False
         self._parked.append(event)
         return True
 
-    def redirect(self, event):
-        """Return the decision that sends ``event`` to the heir."""
+    def make_redirect(self, event):
+        """Return the decision that redirects ``event`` to the heir."""
         return decisions.Redirect(
             attempt_id=event.attempt_id,
             number=event.number,
@@ -125,15 +127,19 @@
             stamp_ms=self.stamps_by_incarnation[event.key.incarnation],
         )
 
-    def transfer_all(self):
-        """Return the transfers of all exported records that have ended."""
+    def make_transfers(self):
+        """Return the transfers of all exported calls that have ended since."""
         transfers = []
         for record in self._exported_in_progress:
-            transfers.extend(self.transfer(record, answer=record.answer))
+            transfers.extend(self.make_transfer(record, answer=record.answer))
         return tuple(transfers)
 
-    def transfer(self, record, *, answer):
-        """Return the transfer of an exported record that has ended."""
+    def make_transfer(self, record, *, answer):
+        """Return the transfer of ``record``, or nothing.
+
+        A record is transferred if it was exported in progress, the authority
+        has moved and the call has ended.
+        """
         if not self.is_done or record not in self._exported_in_progress:
             return ()
         if record.phase in records.IN_PROGRESS:
--- a/packages/savoryyoke/savoryyoke/calls/ledger/records.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/records.py
@@ -1,4 +1,4 @@
-"""Hold what a ledger knows about one key."""
+"""Define the record that a ledger keeps of one key."""
 
 import collections
 import dataclasses
@@ -10,10 +10,10 @@
 
 
 class Phase(enum.Enum):
-    """Say how far a call has come.
+    """Define the phases of a call.
 
-    ``ELSEWHERE`` is a call that the process which left still has in
-    progress. ``LOST`` may have run and ``SEALED`` has not.
+    An ``ELSEWHERE`` call is in progress at the process that handed over. A
+    ``LOST`` call may have run; a ``SEALED`` call has not run.
     """
 
     QUEUED = 'queued'
@@ -29,7 +29,10 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Waiter:
-    """Remember which message of an attempt waits, and until when."""
+    """Hold the message of an attempt that waits for the outcome.
+
+    ``expires_s`` is the monotonic time of the attempt's deadline.
+    """
 
     number: int
     expires_s: float
@@ -37,9 +40,13 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Record:
-    """Hold the state of one key; only its book's ledger changes it."""
+    """Hold the state of one key.
+
+    ``seal_ms`` is the newest stamp that a seal of the key voids and
+    ``status`` the status code of the answer, or 0.
+    """
 
-    book: object
+    table: object
     suffix: str
     window: int
     fingerprint: bytes | None
@@ -47,7 +54,7 @@
     seal_ms: int = NEVER_SEALED_MS
     status: int = 0
     answer: outcomes.Answer | None = None
-    fold_due: bool = False
+    is_in_seal_queue: bool = False
     waiters_by_attempt: dict | None = None
 
     @property
@@ -56,7 +63,7 @@
         return self.phase in (Phase.QUEUED, Phase.HANDED_OVER)
 
     def attach(self, *, attempt_id, number, expires_s):
-        """Let an attempt wait for the outcome."""
+        """Make an attempt wait for the outcome."""
         if self.waiters_by_attempt is None:
             self.waiters_by_attempt = {}
         self.waiters_by_attempt[attempt_id] = Waiter(
@@ -64,14 +71,14 @@
         )
 
     def detach(self, *, attempt_id):
-        """Let an attempt wait no longer; return what waited, by attempt."""
+        """Remove and return the waiter of an attempt, by attempt id."""
         waiters = self.waiters_by_attempt or {}
         if attempt_id not in waiters:
             return {}
         return {attempt_id: waiters.pop(attempt_id)}
 
     def detach_expired(self, *, now_s):
-        """Drop and return the attempts whose deadline has passed."""
+        """Remove and return the waiters whose deadline has passed."""
         waiters = self.waiters_by_attempt or {}
         expired = {
             attempt_id: waiter
@@ -82,26 +89,27 @@
             del waiters[attempt_id]
         return expired
 
-    def is_wanted(self, *, now_s, by=None):
+    def has_live_waiter(self, *, now_s, attempt_ids=None):
         """Return whether an attempt waits whose deadline has not passed.
 
-        Only the attempts ``by`` count, unless it is None.
+        Only ``attempt_ids`` are checked, or all attempts if it is None. Each
+        must be waiting.
         """
         waiters = self.waiters_by_attempt or {}
         return any(
             waiters[attempt_id].expires_s > now_s
-            for attempt_id in (waiters if by is None else by)
+            for attempt_id in (waiters if attempt_ids is None else attempt_ids)
         )
 
     def take_waiters(self):
-        """Return the waiting attempts and forget them."""
+        """Remove and return all waiters, by attempt id."""
         waiters = self.waiters_by_attempt or {}
         self.waiters_by_attempt = None
         return waiters
 
 
 class AnswerCache:
-    """Keep the newest answers within a limit of bytes."""
+    """Keep the newest answers within limits of bytes."""
 
     def __init__(self, *, answer_limit_bytes, total_limit_bytes):
         self._answer_limit_bytes = answer_limit_bytes
@@ -110,7 +118,7 @@
         self.total_bytes = 0
 
     def keep(self, record, answer):
-        """Keep ``answer`` in ``record``, at the cost of older answers."""
+        """Keep ``answer`` in ``record``; drop the oldest if over the limit."""
         size_bytes = answer.size_bytes
         record.answer = None
         if size_bytes > self._answer_limit_bytes:
--- a/packages/savoryyoke/savoryyoke/calls/ledger/responses.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/responses.py
@@ -1,4 +1,4 @@
-"""Make the responses of a ledger to the attempts of a call."""
+"""Build the responses of a ledger to the attempts of a call."""
 
 import dataclasses
 
@@ -10,9 +10,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Stamp:
-    """Tell an entry the clock of one incarnation, and who answers for it.
+    """Report to an entry the clock of one incarnation and its authority.
 
-    ``target_id`` is the sender, an heir if the process itself has left.
+    ``target_id`` is the target that decides on the keys of the incarnation:
+    its own, or that of an heir.
     """
 
     target_id: str
@@ -21,8 +22,8 @@
     window_ms: int
 
 
-def is_mismatch(record, event):
-    """Return whether ``event`` carries another request under the key."""
+def is_different_request(record, event):
+    """Return whether the key was used for a request other than this one."""
     return (
         record.fingerprint is not None
         and record.fingerprint != event.fingerprint
@@ -36,9 +37,9 @@
     )
 
 
-def doubt(event, reason):
-    """Return the decisions that answer ``event`` with 'may have run'."""
-    return (respond(event, lost(reason)),)
+def respond_may_have_run(event, reason):
+    """Return the decisions that answer ``event`` with ``MayHaveRun``."""
+    return (respond(event, make_may_have_run(reason)),)
 
 
 def reject(event, reason):
@@ -47,7 +48,7 @@
 
 
 def respond_all(waiters_by_attempt, outcome):
-    """Return responses to attempts that waited for one call."""
+    """Return the responses with ``outcome`` to all waiters of a call."""
     return tuple(
         decisions.Respond(
             attempt_id=attempt_id, number=waiter.number, outcome=outcome
@@ -56,12 +57,12 @@
     )
 
 
-def lost(reason):
+def make_may_have_run(reason):
     """Return the outcome of a call that may have run."""
     return outcomes.MayHaveRun(reason=reason)
 
 
-def refuse(reason, *, retry_after_s, limits):
+def make_not_run(reason, *, retry_after_s, limits):
     """Return the outcome of a sealed call."""
     return outcomes.NotRun(
         reason=reason,
@@ -71,8 +72,8 @@
     )
 
 
-def refuse_window(*, limits):
-    """Return the outcome of an unknown key of a closed window."""
+def make_window_closed(*, limits):
+    """Return the outcome of a key without record in a closed window."""
     return outcomes.NotRun(
         reason=outcomes.NotRunReason.WINDOW_CLOSED,
         retry_after_s=limits.retry_after_s,
@@ -80,10 +81,10 @@
     )
 
 
-def repeat(record):
+def make_outcome(record):
     """Return the outcome of a call that has ended with ``record``."""
     if record.phase is records.Phase.LOST:
-        return lost(outcomes.MayHaveRunReason.APPLICATION_LOST)
+        return make_may_have_run(outcomes.MayHaveRunReason.APPLICATION_LOST)
     if record.answer is None:
         return outcomes.RanWithoutAnswer(status=record.status)
     return outcomes.Ran(answer=record.answer)
--- a/packages/savoryyoke/savoryyoke/calls/ledger/rules.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/rules.py
@@ -1,11 +1,11 @@
-"""Apply the rules that keep a call to one run and a true answer."""
+"""Apply the rules that let a call run at most once."""
 
 from savoryyoke.calls.ledger import decisions
 from savoryyoke.calls.ledger import records
 from savoryyoke.calls.ledger import responses
 from savoryyoke.calls import outcomes
 
-# Each process of a chain of heirs sets the clock ahead by 1 ms.
+# Extends seals, as each heir in a chain sets the clock ahead by 1 ms.
 SEAL_MARGIN_MS = 16
 
 _Phase = records.Phase
@@ -15,177 +15,187 @@
 
 
 class Rules:
-    """Take the records of a library through the phases of a call.
+    """Move the records of a store through the phases of a call.
 
-    Each method returns a tuple of decisions.
+    Each public method returns a tuple of decisions.
     """
 
-    def __init__(self, *, library, handover, limits):
-        self._library = library
+    def __init__(self, *, store, handover, limits):
+        self._store = store
         self._handover = handover
         self._limits = limits
         self._queued = {}
 
-    def offer(self, book, event, *, now_s):
-        """Admit the call, attach the attempt, or answer it."""
-        record = book.find(event.key)
+    def offer(self, table, event, *, now_s):
+        """Admit the call, attach the attempt to it, or answer the attempt."""
+        record = table.find_record(event.key)
         if record is None:
-            return self._offer_unknown(book, event, now_s)
+            return self._offer_unknown(table, event, now_s)
         if record.phase is _Phase.ELSEWHERE:
             return self._offer_elsewhere(record, event, now_s)
         if record.phase is not _Phase.SEALED:
-            return (responses.respond(event, responses.repeat(record)),)
+            return (responses.respond(event, responses.make_outcome(record)),)
         return self._offer_sealed(record, event, now_s)
 
     def attach(self, record, event, *, now_s):
-        """Let the attempt wait for a call in progress."""
+        """Make the attempt wait for a call in progress."""
         waiters = record.waiters_by_attempt or {}
         limit = self._limits.attempts_per_key_limit
-        made = ()
+        decided = ()
         if event.attempt_id not in waiters and len(waiters) >= limit:
-            made = responses.respond_all(
+            decided = responses.respond_all(
                 record.detach_expired(now_s=now_s),
-                responses.lost(_MayHaveRunReason.DEADLINE),
+                responses.make_may_have_run(_MayHaveRunReason.DEADLINE),
             )
         if event.attempt_id not in waiters and len(waiters) >= limit:
-            return responses.doubt(event, _MayHaveRunReason.TOO_MANY_ATTEMPTS)
+            return responses.respond_may_have_run(
+                event, _MayHaveRunReason.TOO_MANY_ATTEMPTS
+            )
         record.attach(
             attempt_id=event.attempt_id,
             number=event.number,
             expires_s=now_s + event.remaining_s,
         )
-        return made
+        return decided
 
-    def seal(self, book, event, *, now_s):
-        """Close the key if it has not run, for a call not in progress."""
-        record = book.find(event.key)
+    def seal(self, table, event, *, now_s):
+        """Seal the key if the call has not run; it is not in progress here."""
+        record = table.find_record(event.key)
         if record is None:
-            refusal = self._refuse_by_window(book, event, now_s)
-            if refusal:
-                return refusal
-            return self._seal_unknown(book, event, _NotRunReason.SEALED, now_s)
+            response = self._respond_by_window(table, event, now_s)
+            if response:
+                return response
+            return self._add_seal(table, event, _NotRunReason.SEALED, now_s)
         if record.phase is _Phase.SEALED:
             return self._seal(record, event, _NotRunReason.SEALED, now_s)
         if record.phase is _Phase.ELSEWHERE:
-            return self._detach_in_doubt(record, event)
-        return (responses.respond(event, responses.repeat(record)),)
+            return self._detach_in_progress(record, event)
+        return (responses.respond(event, responses.make_outcome(record)),)
 
     def withdraw(self, record, event, *, now_s):
-        """Detach the attempt; abandon a queued call that no other wants."""
-        others = (record.waiters_by_attempt or {}).keys() - {event.attempt_id}
-        wanted = record.is_wanted(now_s=now_s, by=others)
-        if record.phase is _Phase.HANDED_OVER or wanted:
-            return self._detach_in_doubt(record, event)
-        made = self.end_unrun(record, _NotRunReason.SEALED, now_s=now_s)
-        outcome = self._not_run(_NotRunReason.SEALED)
+        """Detach the attempt; abandon a queued call without other waiters."""
+        other_attempt_ids = (record.waiters_by_attempt or {}).keys() - {
+            event.attempt_id
+        }
+        has_other_waiter = record.has_live_waiter(
+            now_s=now_s, attempt_ids=other_attempt_ids
+        )
+        if record.phase is _Phase.HANDED_OVER or has_other_waiter:
+            return self._detach_in_progress(record, event)
+        decided = self.end_not_run(record, _NotRunReason.SEALED, now_s=now_s)
+        outcome = self._make_not_run(_NotRunReason.SEALED)
         return (
             decisions.Abandon(key=event.key),
             responses.respond(event, outcome),
-            *made,
+            *decided,
         )
 
     def hand_over(self, record, *, now_s):
-        """Pass the point of no return, if an attempt still wants it."""
-        key = record.book.key(record)
-        if not record.is_wanted(now_s=now_s):
+        """Hand the call to the application unless all its attempts expired."""
+        key = record.table.make_key(record)
+        if not record.has_live_waiter(now_s=now_s):
             return self._expire(record, now_s)
         del self._queued[record]
         record.phase = _Phase.HANDED_OVER
         return (decisions.HandOver(key=key),)
 
     def expire_queued(self, *, now_s):
-        """Abandon the queued calls whose attempts' deadlines have passed."""
-        made = []
+        """Abandon the queued calls whose attempts have all expired."""
+        decided = []
         for record in tuple(self._queued):
-            if not record.is_wanted(now_s=now_s):
-                made.extend(self._expire(record, now_s))
-        return tuple(made)
+            if not record.has_live_waiter(now_s=now_s):
+                decided.extend(self._expire(record, now_s))
+        return tuple(decided)
 
     def complete(self, record, answer):
         """End a call with the application's answer."""
         record.phase = _Phase.RAN
         record.status = answer.status
-        made = self._end(record, outcomes.Ran(answer=answer))
-        self._library.answers.keep(record, answer)
-        return made
+        decided = self._end(record, outcomes.Ran(answer=answer))
+        self._store.answers.keep(record, answer)
+        return decided
 
-    def end_unrun(self, record, reason, *, now_s, retry_after_s=0.0):
-        """End a call that has not run and void its attempts."""
+    def end_not_run(self, record, reason, *, now_s, retry_after_s=0.0):
+        """End a call that has not run and seal its key."""
         self._queued.pop(record, None)
-        book = record.book
-        book.seal(record, seal_ms=self._seal_ms(book, now_s))
-        outcome = self._not_run(reason, retry_after_s=retry_after_s)
+        table = record.table
+        table.seal(record, seal_ms=self._seal_ms(table, now_s))
+        outcome = self._make_not_run(reason, retry_after_s=retry_after_s)
         return self._end(record, outcome)
 
-    def end_lost(self, record):
+    def end_may_have_run(self, record):
         """End a call that may have run."""
         record.phase = _Phase.LOST
-        return self._end(record, responses.repeat(record))
+        return self._end(record, responses.make_outcome(record))
 
-    def take_over(self, record, copy, *, now_s):
-        """End a call that was in progress elsewhere as ``copy`` says."""
+    def end_transferred(self, record, copy, *, now_s):
+        """End a call that was in progress elsewhere, as in ``copy``."""
         if copy.phase is _Phase.SEALED:
-            return self.end_unrun(record, _NotRunReason.SEALED, now_s=now_s)
+            return self.end_not_run(record, _NotRunReason.SEALED, now_s=now_s)
         if copy.phase is not _Phase.RAN:
-            return self.end_lost(record)
+            return self.end_may_have_run(record)
         if copy.answer is not None:
             return self.complete(record, copy.answer)
         record.phase = _Phase.RAN
         record.status = copy.status
-        return self._end(record, responses.repeat(record))
+        return self._end(record, responses.make_outcome(record))
 
-    def _detach_in_doubt(self, record, event):
+    def _detach_in_progress(self, record, event):
         waiters = record.detach(attempt_id=event.attempt_id)
-        outcome = responses.lost(_MayHaveRunReason.IN_PROGRESS)
+        outcome = responses.make_may_have_run(_MayHaveRunReason.IN_PROGRESS)
         return (
             responses.respond(event, outcome),
             *responses.respond_all(waiters, outcome),
         )
 
     def _offer_elsewhere(self, record, event, now_s):
-        if record.book.source_lost:
-            return responses.doubt(event, _MayHaveRunReason.APPLICATION_LOST)
+        if record.table.source_process_lost:
+            return responses.respond_may_have_run(
+                event, _MayHaveRunReason.APPLICATION_LOST
+            )
         return self.attach(record, event, now_s=now_s)
 
     def _offer_sealed(self, record, event, now_s):
-        book = record.book
-        refusal = self._refuse_by_window(book, event, now_s)
-        if refusal:
-            return refusal
-        reason = self._refusal(book, event, record.seal_ms)
+        table = record.table
+        response = self._respond_by_window(table, event, now_s)
+        if response:
+            return response
+        reason = self._find_refusal_reason(table, event, record.seal_ms)
         if reason is not None:
             return self._seal(record, event, reason, now_s)
         return self._admit(record, event, now_s)
 
-    def _offer_unknown(self, book, event, now_s):
-        refusal = self._refuse_by_window(book, event, now_s)
-        if refusal:
-            return refusal
-        reason = self._refusal(book, event, book.seal_floor_ms)
+    def _offer_unknown(self, table, event, now_s):
+        response = self._respond_by_window(table, event, now_s)
+        if response:
+            return response
+        reason = self._find_refusal_reason(table, event, table.seal_floor_ms)
         if reason is not None:
-            return self._seal_unknown(book, event, reason, now_s)
-        if not self._library.make_room(now_s=now_s):
-            return self._refuse_full(book, event, now_s)
-        record = book.add(
+            return self._add_seal(table, event, reason, now_s)
+        if not self._store.make_room(now_s=now_s):
+            return self._refuse_full(table, event, now_s)
+        record = table.add(
             event.key, fingerprint=event.fingerprint, phase=_Phase.QUEUED
         )
         return self._admit(record, event, now_s)
 
-    def _refuse_by_window(self, book, event, now_s):
+    def _respond_by_window(self, table, event, now_s):
         window = event.key.window
-        if window > book.window(now_s=now_s):
+        if window > table.current_window(now_s=now_s):
             return responses.reject(event, _RejectionReason.KEY_NOT_ISSUED)
-        if window < book.record_floor:
-            return responses.doubt(event, _MayHaveRunReason.RECORD_DROPPED)
-        if window < self._library.accept_floor(book, now_s=now_s):
-            outcome = responses.refuse_window(limits=self._limits)
+        if window < table.record_floor:
+            return responses.respond_may_have_run(
+                event, _MayHaveRunReason.RECORD_DROPPED
+            )
+        if window < self._store.accept_floor(table, now_s=now_s):
+            outcome = responses.make_window_closed(limits=self._limits)
             return (responses.respond(event, outcome),)
         return ()
 
-    def _refusal(self, book, event, seal_ms):
-        stamp_ms = max(event.stamp_ms, book.window_start_ms(event.key))
-        # The same millisecond counts as before the seal: the attempt may
-        # have arrived on either side of it.
+    def _find_refusal_reason(self, table, event, seal_ms):
+        stamp_ms = max(event.stamp_ms, table.window_start_ms(event.key))
+        # An attempt in the millisecond of the seal is void: it may have
+        # arrived before or after the seal.
         if stamp_ms <= seal_ms:
             return _NotRunReason.SUPERSEDED
         if event.remaining_s <= 0:
@@ -200,37 +210,37 @@
         return (admit,)
 
     def _expire(self, record, now_s):
-        made = self.end_unrun(record, _NotRunReason.DEADLINE, now_s=now_s)
-        return (decisions.Abandon(key=record.book.key(record)), *made)
+        decided = self.end_not_run(record, _NotRunReason.DEADLINE, now_s=now_s)
+        return (decisions.Abandon(key=record.table.make_key(record)), *decided)
 
-    def _seal_ms(self, book, now_s):
+    def _seal_ms(self, table, now_s):
         hold_ms = self._limits.seal_hold_ms + SEAL_MARGIN_MS
-        return book.clock_ms(now_s=now_s) + hold_ms
+        return table.clock_ms(now_s=now_s) + hold_ms
 
     def _seal(self, record, event, reason, now_s):
-        book = record.book
-        book.seal(record, seal_ms=self._seal_ms(book, now_s))
-        return (responses.respond(event, self._not_run(reason)),)
-
-    def _seal_unknown(self, book, event, reason, now_s):
-        if not self._library.make_room(now_s=now_s):
-            return self._refuse_full(book, event, now_s)
-        record = book.add(
+        table = record.table
+        table.seal(record, seal_ms=self._seal_ms(table, now_s))
+        return (responses.respond(event, self._make_not_run(reason)),)
+
+    def _add_seal(self, table, event, reason, now_s):
+        if not self._store.make_room(now_s=now_s):
+            return self._refuse_full(table, event, now_s)
+        record = table.add(
             event.key, fingerprint=event.fingerprint, phase=_Phase.SEALED
         )
         return self._seal(record, event, reason, now_s)
 
-    def _refuse_full(self, book, event, now_s):
-        book.seal_unknown(seal_ms=self._seal_ms(book, now_s))
-        outcome = self._not_run(_NotRunReason.LEDGER_FULL)
+    def _refuse_full(self, table, event, now_s):
+        table.raise_seal_floor(seal_ms=self._seal_ms(table, now_s))
+        outcome = self._make_not_run(_NotRunReason.LEDGER_FULL)
         return (responses.respond(event, outcome),)
 
-    def _not_run(self, reason, *, retry_after_s=0.0):
-        return responses.refuse(
+    def _make_not_run(self, reason, *, retry_after_s=0.0):
+        return responses.make_not_run(
             reason, retry_after_s=retry_after_s, limits=self._limits
         )
 
     def _end(self, record, outcome):
-        made = responses.respond_all(record.take_waiters(), outcome)
+        decided = responses.respond_all(record.take_waiters(), outcome)
         answer = outcome.answer if isinstance(outcome, outcomes.Ran) else None
-        return (*made, *self._handover.transfer(record, answer=answer))
+        return (*decided, *self._handover.make_transfer(record, answer=answer))
--- a/packages/savoryyoke/savoryyoke/calls/ledger/snapshots.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/snapshots.py
@@ -1,4 +1,4 @@
-"""Define what a leaving process hands to its heir."""
+"""Define the copies of a ledger that a leaving process sends its heir."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Heir:
-    """Name the process that takes the authority over."""
+    """Identify the process that takes over the authority."""
 
     target_id: str
     incarnation: int
@@ -28,11 +28,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class BookCopy:
+class RecordTableCopy:
     """Hold a copy of the records of one incarnation.
 
-    ``stamp_ms`` is the last stamp that the sender gives out. ``confirmed``
-    says whether the sender knows that it has the authority itself.
+    ``stamp_ms`` is the last stamp of the sender. ``confirmed`` says whether
+    the authority over this incarnation has been confirmed to the sender.
     """
 
     target_id: str
@@ -48,25 +48,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Snapshot:
-    """Hold all books of the process ``source_incarnation``.
+    """Hold all tables of the process ``source_incarnation``.
 
-    Only the process ``heir`` may take it in, not one restarted in its place,
-    which does not know what its predecessor ran.
+    Only the process ``heir`` may import it, not a process restarted in its
+    place, which has no record of the calls that ``heir`` ran.
     """
 
     heir: Heir
     source_incarnation: int
     export_number: int
-    books: tuple[BookCopy, ...]
+    books: tuple[RecordTableCopy, ...]
 
 
 def copy_record(record, *, answer):
-    """Return the copy of ``record``, in progress elsewhere for the heir."""
+    """Return a copy of ``record``, with ``ELSEWHERE`` if in progress."""
     phase = record.phase
     if phase in records.IN_PROGRESS:
         phase = records.Phase.ELSEWHERE
     return RecordCopy(
-        key=record.book.key(record),
+        key=record.table.make_key(record),
         fingerprint=record.fingerprint,
         phase=phase,
         seal_ms=record.seal_ms,
--- a/packages/savoryyoke/savoryyoke/calls/ledger/books.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/tables.py
@@ -8,56 +8,63 @@
 from savoryyoke.calls.ledger import snapshots
 
 
-class Book:
+class RecordTable:
     """Hold the records, the clock and the floors of one incarnation.
 
     The clock counts milliseconds since the process of that incarnation
-    started and goes on at an heir. Unknown keys of windows below
-    ``accept_floor`` never run; records of windows below ``record_floor`` may
-    be gone. Attempts on unknown keys with a stamp not newer than
-    ``seal_floor_ms`` are void. A book of an heir is ``confirmed`` once the
-    authority has moved to it.
+    started, and continues at an heir. Keys without a record in windows below
+    ``accept_floor`` never run. Records of windows below ``record_floor`` may
+    have been dropped. Attempts on keys without a record are void if their
+    stamp is not newer than ``seal_floor_ms``.
+
+    ``export_id`` identifies the export that a table came from, as incarnation
+    of the sender and export number; it is None for the process's own table.
+    An imported table is ``confirmed`` once the authority has moved here. Only
+    a table that ``was_confirmed_at_source`` can be confirmed.
     """
 
     def __init__(
-        self, *, target_id, incarnation, window_ms, clock_ms, now_s, source
+        self, *, target_id, incarnation, window_ms, clock_ms, now_s, export_id
     ):
         self.target_id = target_id
         self.incarnation = incarnation
         self.window_ms = window_ms
-        self.source = source
-        self.source_lost = False
-        self.confirmed = source is None
-        self.confirmable = True
+        self.export_id = export_id
+        self.source_process_lost = False
+        self.confirmed = export_id is None
+        self.was_confirmed_at_source = True
         self.accept_floor = 0
         self.record_floor = 0
         self.seal_floor_ms = records.NEVER_SEALED_MS
         self.record_count = 0
-        # The newest window of which keys can exist at an heir.
+        # For an imported table, no keys exist in windows after this one.
         self.last_window = clock_ms // window_ms
         self._base_ms = clock_ms
         self._base_s = now_s
         self._records_by_window = {}
-        self._folds = collections.deque()
+        self._seal_queue = collections.deque()
 
     def clock_ms(self, *, now_s):
         """Return the clock of the incarnation, in whole milliseconds."""
         elapsed_ms = (now_s - self._base_s) * conf.MILLISECONDS_PER_SECOND
         return self._base_ms + int(elapsed_ms)
 
-    def window(self, *, now_s):
-        """Return the number of the present window."""
+    def current_window(self, *, now_s):
+        """Return the number of the current window."""
         return self.clock_ms(now_s=now_s) // self.window_ms
 
     def window_start_ms(self, key):
-        """Return the clock before which ``key`` cannot have existed."""
+        """Return the clock at the start of the key's window, in ms.
+
+        No attempt on ``key`` can have arrived earlier.
+        """
         return key.window * self.window_ms
 
-    def find(self, key):
+    def find_record(self, key):
         """Return the record of ``key`` or None."""
         return self._records_by_window.get(key.window, {}).get(key.suffix)
 
-    def key(self, record):
+    def make_key(self, record):
         """Return the key of ``record``."""
         return keys.BoundKey(
             target_id=self.target_id,
@@ -67,9 +74,9 @@
         )
 
     def add(self, key, *, fingerprint, phase):
-        """Add and return a record for an unknown ``key``."""
+        """Add and return a record for ``key``, which must have none."""
         record = records.Record(
-            book=self,
+            table=self,
             suffix=key.suffix,
             window=key.window,
             fingerprint=fingerprint,
@@ -80,38 +87,38 @@
         return record
 
     def seal(self, record, *, seal_ms):
-        """Void all attempts on ``record`` up to the stamp ``seal_ms``."""
+        """Void the attempts on ``record`` with stamps up to ``seal_ms``."""
         record.phase = records.Phase.SEALED
         record.seal_ms = max(record.seal_ms, seal_ms)
-        if not record.fold_due:
-            record.fold_due = True
-            self._folds.append((record.seal_ms, record))
+        if not record.is_in_seal_queue:
+            record.is_in_seal_queue = True
+            self._seal_queue.append((record.seal_ms, record))
 
-    def seal_unknown(self, *, seal_ms):
-        """Void all attempts on unknown keys up to the stamp ``seal_ms``."""
+    def raise_seal_floor(self, *, seal_ms):
+        """Void attempts on keys without a record, up to ``seal_ms``."""
         self.seal_floor_ms = max(self.seal_floor_ms, seal_ms)
 
     def fold_seals(self, *, before_ms):
-        """Fold seals older than ``before_ms`` into the floor.
+        """Replace seals older than ``before_ms`` by a higher seal floor.
 
         A seal needs no record of its own once the floor covers it.
         """
-        while self._folds and self._folds[0][0] < before_ms:
-            _, record = self._folds.popleft()
-            record.fold_due = False
+        while self._seal_queue and self._seal_queue[0][0] < before_ms:
+            _, record = self._seal_queue.popleft()
+            record.is_in_seal_queue = False
             if record.phase is not records.Phase.SEALED:
                 continue
             if record.seal_ms >= before_ms:
                 self.seal(record, seal_ms=record.seal_ms)
                 continue
-            self.seal_unknown(seal_ms=record.seal_ms)
+            self.raise_seal_floor(seal_ms=record.seal_ms)
             self._drop(record)
 
     def drop_windows(self, *, below, count_limit=None):
-        """Drop finished records of windows below ``below``; return them.
+        """Drop the ended records of windows below ``below``; return them.
 
-        The floor is raised first. Stops after a window that brings the
-        number of records dropped to ``count_limit``.
+        The record floor is raised before records are dropped. Stops after
+        the window in which ``count_limit`` is reached, if one is given.
         """
         dropped = []
         windows = [w for w in self._records_by_window if w < below]
@@ -128,12 +135,12 @@
         return dropped
 
     def copy(self, *, stamp_ms):
-        """Return a copy for an heir, which goes on from ``stamp_ms``."""
+        """Return a copy for an heir; ``stamp_ms`` is the last stamp sent."""
         copies = (
             snapshots.copy_record(record, answer=record.answer)
             for record in self.records()
         )
-        return snapshots.BookCopy(
+        return snapshots.RecordTableCopy(
             target_id=self.target_id,
             incarnation=self.incarnation,
             window_ms=self.window_ms,
@@ -152,7 +159,7 @@
 
     def _is_droppable(self, record):
         if record.phase is records.Phase.ELSEWHERE:
-            return self.source_lost
+            return self.source_process_lost
         return record.phase not in records.IN_PROGRESS
 
     def _drop(self, record):
@@ -165,26 +172,26 @@
             del self._records_by_window[record.window]
 
 
-def restore_book(copy, *, source, now_s):
-    """Return the book of a ``BookCopy`` sent by ``source``.
+def restore_table(copy, *, export_id, now_s):
+    """Return the table restored from ``copy``, a ``RecordTableCopy``.
 
-    Its clock starts one past the last stamp of the sender, so that each
+    Its clock starts 1 ms after the last stamp of the sender, so that each
     stamp of the heir is newer.
     """
-    book = Book(
+    table = RecordTable(
         target_id=copy.target_id,
         incarnation=copy.incarnation,
         window_ms=copy.window_ms,
         clock_ms=copy.stamp_ms + 1,
         now_s=now_s,
-        source=source,
+        export_id=export_id,
     )
-    book.confirmable = copy.confirmed
-    book.accept_floor = copy.accept_floor
-    book.record_floor = copy.record_floor
-    book.seal_floor_ms = copy.seal_floor_ms
+    table.was_confirmed_at_source = copy.confirmed
+    table.accept_floor = copy.accept_floor
+    table.record_floor = copy.record_floor
+    table.seal_floor_ms = copy.seal_floor_ms
     for record_copy in copy.records:
-        record = book.add(
+        record = table.add(
             record_copy.key,
             fingerprint=record_copy.fingerprint,
             phase=record_copy.phase,
@@ -193,5 +200,5 @@
         record.status = record_copy.status
         record.answer = record_copy.answer
         if record.phase is records.Phase.SEALED:
-            book.seal(record, seal_ms=record_copy.seal_ms)
-    return book
+            table.seal(record, seal_ms=record_copy.seal_ms)
+    return table
--- a/packages/savoryyoke/savoryyoke/calls/outcomes.py
+++ b/packages/savoryyoke/savoryyoke/calls/outcomes.py
@@ -1,4 +1,4 @@
-"""Define what a caller may be told about a non-idempotent call."""
+"""Define the outcomes of a non-idempotent call that a caller may get."""
 
 import dataclasses
 import enum
@@ -6,21 +6,22 @@
 
 
 class NotRunReason(enum.Enum):
-    """Say why a call did not run and why no run can still follow.
+    """Say why a call did not run and why it can no longer run.
 
-    Only the ledger with the authority over the key gives a reason, but for
-    ``UNBOUND_KEY``. Each but ``UNBOUND_KEY`` and ``WINDOW_CLOSED`` comes with
-    a seal that voids every attempt that arrived before the answer.
+    Only the ledger with the authority over the key returns these reasons;
+    the exception is ``UNBOUND_KEY``. With each reason except ``UNBOUND_KEY``
+    and ``WINDOW_CLOSED`` the ledger sets a seal that voids every attempt
+    that arrived before the answer.
     """
 
-    # The entry never forwards a key that names no target.
+    # The entry does not forward a key that has no target.
     UNBOUND_KEY = 'unbound-key'
-    # The record of each accepted key of the window is still there, this key
-    # has none, and a closed window never opens again.
+    # The records of all accepted keys of the window are still kept, this key
+    # has none, and a closed window never reopens.
     WINDOW_CLOSED = 'window-closed'
-    # The attempt arrived before a seal of the key; the seal voids it.
+    # The attempt arrived before the key was sealed; the seal voids it.
     SUPERSEDED = 'superseded'
-    # The call left the queue at the request of its last attempt.
+    # The last attempt of the call asked for its removal from the queue.
     SEALED = 'sealed'
     # Each attempt's deadline passed before the call left the queue.
     DEADLINE = 'deadline'
@@ -28,7 +29,7 @@
     REFUSED = 'refused'
     # The application never received a byte, such as a refused connection.
     HAND_OVER_FAILED = 'hand-over-failed'
-    # The ledger has no room; a seal over all its unknown keys was set.
+    # The ledger is full; all keys without a record were sealed.
     LEDGER_FULL = 'ledger-full'
 
 
@@ -47,7 +48,7 @@
 
 
 class RejectionReason(enum.Enum):
-    """Say why a request was rejected without a word on the key's call."""
+    """Say why a request was rejected, whatever became of the key's call."""
 
     KEY_REUSED = 'key-reused'
     KEY_NOT_ISSUED = 'key-not-issued'
@@ -55,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """Hold the application's whole answer."""
+    """Hold the complete answer of the application."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -70,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ran:
-    """Report that the call ran once and gave this answer."""
+    """Report that the call ran once, with this answer."""
 
     answer: Answer
 
@@ -84,10 +85,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotRun:
-    """Report that the call did not run, by any attempt that has arrived.
+    """Report that no attempt that has arrived ran the call.
 
-    The claim holds when it is delivered within ``holds_for_s`` seconds of
-    the request that it answers. The caller may come back after
+    The outcome is valid only if it is delivered within ``holds_for_s``
+    seconds of the request that it answers. The caller may retry after
     ``retry_after_s`` seconds, with the same key if ``same_key_may_return``.
     """
 
@@ -99,24 +100,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MayHaveRun:
-    """Report that the call may have run, may run still, or did not run."""
+    """Report that it is unknown whether the call ran or will still run."""
 
     reason: MayHaveRunReason
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rejected:
-    """Report a request that is at odds with its key.
+    """Report a request that does not fit its key.
 
-    This request did not run and never will; nothing is said on the call
-    that the key belongs to, which is left untouched.
+    This request did not run and will not run. The call that the key belongs
+    to is not affected, and its state is not reported.
     """
 
     reason: RejectionReason
 
 
 def refuse_unbound(*, retry_after_s):
-    """Return the outcome for a key without a binding, decided at once."""
+    """Return the outcome of a request whose key has no binding."""
     return NotRun(
         reason=NotRunReason.UNBOUND_KEY,
         retry_after_s=retry_after_s,
--- a/packages/savoryyoke/savoryyoke/calls/routes.py
+++ b/packages/savoryyoke/savoryyoke/calls/routes.py
@@ -1,4 +1,4 @@
-"""Find the process that has the authority over a key."""
+"""Find the process that decides on a key."""
 
 import collections
 import dataclasses
@@ -8,10 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """Name the process that answers for an incarnation.
+    """Identify the process that decides on the keys of an incarnation.
 
-    ``stamp_ms`` is its newest stamp and ``window_ms`` the length of its
-    windows.
+    ``stamp_ms`` is the newest stamp received and ``window_ms`` the length
+    of the windows; 0 if no stamp has been received.
     """
 
     target_id: str
@@ -20,10 +20,11 @@
 
 
 class Routes:
-    """Hold the routes by incarnation that an entry has heard of.
+    """Hold the newest route that an entry received for each incarnation.
 
-    The stamps of an heir are newer than all those of the process that left,
-    so the newest stamp names the authority, whatever the order of messages.
+    The stamps of an heir are newer than all stamps of the process that left,
+    so the newest stamp identifies the authority in any order of messages.
+    Beyond ``routes_limit`` routes, the least recently updated are dropped.
     """
 
     def __init__(self, *, limits):
@@ -31,9 +32,12 @@
         self._routes_by_incarnation = collections.OrderedDict()
 
     def hear(self, stamp):
-        """Take in a ``Stamp`` of a ledger."""
-        held = self._routes_by_incarnation.get(stamp.incarnation)
-        if held is not None and stamp.stamp_ms <= held.stamp_ms:
+        """Update the route from a ``Stamp`` unless it is outdated."""
+        current_route = self._routes_by_incarnation.get(stamp.incarnation)
+        if (
+            current_route is not None
+            and stamp.stamp_ms <= current_route.stamp_ms
+        ):
             return
         self._put(
             stamp.incarnation,
@@ -45,11 +49,15 @@
         )
 
     def follow(self, *, incarnation, heir, stamp_ms):
-        """Take in that ``heir`` answers after the last stamp ``stamp_ms``."""
-        held = self._routes_by_incarnation.get(incarnation)
-        if held is not None and stamp_ms < held.stamp_ms:
+        """Route the keys of ``incarnation`` to its ``heir``.
+
+        ``stamp_ms`` is the last stamp of the process that handed over; the
+        call has no effect if a newer stamp is known.
+        """
+        current_route = self._routes_by_incarnation.get(incarnation)
+        if current_route is not None and stamp_ms < current_route.stamp_ms:
             return
-        window_ms = 0 if held is None else held.window_ms
+        window_ms = 0 if current_route is None else current_route.window_ms
         self._put(
             incarnation,
             Route(
@@ -60,19 +68,20 @@
         )
 
     def find_target(self, key):
-        """Return the id of the target that answers for ``key``."""
+        """Return the id of the target that decides on ``key``."""
         route = self._routes_by_incarnation.get(key.incarnation)
         return key.target_id if route is None else route.target_id
 
     def find_stamp_ms(self, key):
-        """Return the newest stamp held for ``key``, 0 without one."""
+        """Return the newest stamp of the key's incarnation in ms, or 0."""
         route = self._routes_by_incarnation.get(key.incarnation)
         return 0 if route is None else route.stamp_ms
 
     def make_binding(self, *, service, target_id, incarnation):
-        """Return a binding to a live process, or None without a stamp.
+        """Return a binding to a running process, or None.
 
-        An incarnation that has left makes no new keys.
+        The result is None if no stamp of the process has been received or
+        if an heir decides on its keys: these get no new bindings.
         """
         route = self._routes_by_incarnation.get(incarnation)
         if route is None or route.target_id != target_id:
--- a/packages/savoryyoke/savoryyoke/calls/testing/oracle.py
+++ b/packages/savoryyoke/savoryyoke/calls/testing/oracle.py
@@ -1,4 +1,4 @@
-"""Judge answers against one omniscient record of actual runs."""
+"""Check the answers to callers against a record of all actual runs."""
 
 import collections
 import dataclasses
@@ -7,19 +7,22 @@
 
 
 class FalseAnswer(AssertionError):
-    """Report a second run or an answer that was not true."""
+    """Report a second run of a call or an answer that was not true."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Run:
-    """Hold what the application really did."""
+    """Hold a run of a call by the application."""
 
     fingerprint: bytes
     answer: outcomes.Answer
 
 
 class Oracle:
-    """Hold each run and each refusal, by key."""
+    """Record runs, refusals and arrivals; raise ``FalseAnswer`` on a fault.
+
+    ``counts`` counts the outcomes by class name and by reason.
+    """
 
     def __init__(self):
         self.runs_by_key = {}
@@ -28,12 +31,12 @@
         self.double_runs = 0
         self.counts = collections.Counter()
 
-    def arrive(self, *, attempt_id, now_s):
-        """Record that a caller's request reached an entry's VM."""
+    def record_arrival(self, *, attempt_id, now_s):
+        """Record that a caller's request reached the VM of an entry."""
         self.arrived_s_by_attempt[attempt_id] = now_s
 
-    def run(self, *, key, attempt_id, run):
-        """Record a run, brought to the queue by ``attempt_id``."""
+    def record_run(self, *, key, attempt_id, run):
+        """Record a run of the call that ``attempt_id`` put into the queue."""
         if key in self.runs_by_key:
             self.double_runs += 1
             raise FalseAnswer(f'{key} ran twice')
@@ -42,8 +45,8 @@
         if self.arrived_s_by_attempt[attempt_id] <= refused_s:
             raise FalseAnswer(f'{key} ran after it was refused')
 
-    def deliver(self, *, key, fingerprint, outcome, now_s):
-        """Judge an answer given to a caller."""
+    def check_outcome(self, *, key, fingerprint, outcome, now_s):
+        """Check an outcome that was delivered to a caller."""
         self.counts[type(outcome).__name__] += 1
         reason = getattr(outcome, 'reason', None)
         if reason is not None:
--- a/packages/savoryyoke/savoryyoke/calls/testing/schedules.py
+++ b/packages/savoryyoke/savoryyoke/calls/testing/schedules.py
@@ -1,4 +1,4 @@
-"""Turn lists of numbers into schedules of calls and failures."""
+"""Apply sequences of calls and failures to a simulated world."""
 
 from savoryyoke.calls.testing import world as worlds
 
@@ -39,7 +39,11 @@
 
 
 class Schedule:
-    """Apply operations to a world; each takes two numbers as choices."""
+    """Apply operations to a world.
+
+    Each operation takes two non-negative numbers, which select processes,
+    keys, messages and durations.
+    """
 
     def __init__(self, *, oracle, limits=worlds.LEDGER_LIMITS):
         self.world = worlds.World(oracle=oracle, targets=3, limits=limits)
@@ -47,12 +51,13 @@
         self._fingerprints_by_key = {}
 
     def run(self, steps):
-        """Apply ``steps``, then let everything come to its end.
+        """Apply ``steps``, then complete all calls without failures.
 
-        Returns the number of attempts left without an answer.
+        A step is an operation's name and its two numbers. Returns the number
+        of attempts that got no answer.
         """
-        for name, first, second in steps:
-            getattr(self, f'_{name}')(first, second)
+        for name, first_choice, second_choice in steps:
+            getattr(self, f'_{name}')(first_choice, second_choice)
         self._finish()
         return sum(
             len(self.world.processes_by_slot[entry_id].attempts_by_id)
@@ -77,7 +82,7 @@
         awake = [slot for slot in slots if self.world.is_awake(slot)]
         return awake[choice % len(awake)] if awake else None
 
-    def _target(self, choice):
+    def _pick_target(self, choice):
         return self._pick(self.world.target_ids, choice)
 
     def _send(self, entry_id, key, fingerprint):
@@ -87,10 +92,10 @@
                 entry_id, key, fingerprint=fingerprint, timeout_s=timeout_s
             )
 
-    def _call(self, first, second):
-        entry_id = self.world.entry_ids[first % 2]
+    def _call(self, first_choice, second_choice):
+        entry_id = self.world.entry_ids[first_choice % 2]
         key = self.world.bind(
-            self.world.target_ids[second % 2],
+            self.world.target_ids[second_choice % 2],
             suffix=f'k{len(self._keys)}',
             entry_id=entry_id,
         )
@@ -98,124 +103,126 @@
             self._keys.append(key)
             self._send(entry_id, key, b'a')
 
-    def _repeat(self, first, second):
+    def _repeat(self, first_choice, second_choice):
         if self._keys:
-            key = self._keys[-1 - second // 6 % len(self._keys)]
-            self._send(self.world.entry_ids[first % 2], key, b'a')
+            key = self._keys[-1 - second_choice // 6 % len(self._keys)]
+            self._send(self.world.entry_ids[first_choice % 2], key, b'a')
 
-    def _repeat_other_body(self, first, second):
+    def _repeat_other_body(self, first_choice, second_choice):
         if self._keys:
-            self._send(self.world.entry_ids[first % 2], self._keys[-1], b'b')
+            self._send(
+                self.world.entry_ids[first_choice % 2], self._keys[-1], b'b'
+            )
 
-    def _leave(self, first, second):
-        entry_id = self._pick(self.world.entry_ids, first)
+    def _leave(self, first_choice, second_choice):
+        entry_id = self._pick(self.world.entry_ids, first_choice)
         if entry_id is not None:
-            self.world.leave(entry_id)
+            self.world.disconnect_caller(entry_id)
 
-    def _flow(self, first, second):
+    def _flow(self, first_choice, second_choice):
         self.world.flow()
 
-    def _deliver(self, first, second):
+    def _deliver(self, first_choice, second_choice):
         if self.world.messages:
-            self.world.deliver(first % len(self.world.messages))
+            self.world.deliver(first_choice % len(self.world.messages))
 
-    def _duplicate(self, first, second):
+    def _duplicate(self, first_choice, second_choice):
         messages = self.world.messages
         if messages:
-            messages.append(messages[first % len(messages)])
+            messages.append(messages[first_choice % len(messages)])
 
-    def _drop(self, first, second):
+    def _drop(self, first_choice, second_choice):
         if self.world.messages:
-            self.world.messages.pop(first % len(self.world.messages))
+            self.world.messages.pop(first_choice % len(self.world.messages))
 
-    def _hand_over(self, first, second):
-        target_id = self._target(first)
+    def _hand_over(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
             self.world.hand_over(target_id)
 
-    def _refuse(self, first, second):
-        target_id = self._target(first)
+    def _refuse(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
             self.world.refuse(target_id)
 
-    def _refuse_hand_over(self, first, second):
-        target_id = self._target(first)
+    def _refuse_hand_over(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
             self.world.hand_over(target_id, accepts=False)
 
-    def _complete(self, first, second):
-        target_id = self._target(first)
+    def _complete(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
             self.world.complete(target_id)
 
-    def _replace_application(self, first, second):
-        target_id = self._target(first)
+    def _replace_application(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
             self.world.replace_application(target_id)
 
-    def _advance(self, first, second):
-        self.world.advance(_STEPS_S[first % len(_STEPS_S)])
+    def _advance(self, first_choice, second_choice):
+        self.world.advance(_STEPS_S[first_choice % len(_STEPS_S)])
 
-    def _beat(self, first, second):
+    def _beat(self, first_choice, second_choice):
         self.world.beat()
 
-    def _tick(self, first, second):
-        target_id = self._target(first)
+    def _tick(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
             self.world.tick(target_id)
 
-    def _freeze_entry(self, first, second):
-        self.world.freeze(self.world.entry_ids[first % 2])
+    def _freeze_entry(self, first_choice, second_choice):
+        self.world.freeze(self.world.entry_ids[first_choice % 2])
 
-    def _freeze_target(self, first, second):
-        self.world.freeze(self.world.target_ids[first % 3])
+    def _freeze_target(self, first_choice, second_choice):
+        self.world.freeze(self.world.target_ids[first_choice % 3])
 
-    def _thaw(self, first, second):
+    def _thaw(self, first_choice, second_choice):
         frozen = sorted(self.world.inboxes_by_frozen_slot)
         if frozen:
-            self.world.thaw(frozen[first % len(frozen)])
+            self.world.thaw(frozen[first_choice % len(frozen)])
 
-    def _cut(self, first, second):
+    def _cut(self, first_choice, second_choice):
         slots = (*self.world.entry_ids, *self.world.target_ids)
         self.world.cuts.add(
-            frozenset((slots[first % 5], slots[second % 5])),
+            frozenset((slots[first_choice % 5], slots[second_choice % 5])),
         )
 
-    def _heal(self, first, second):
+    def _heal(self, first_choice, second_choice):
         self.world.cuts.clear()
 
-    def _restart_entry(self, first, second):
-        self.world.start(self.world.entry_ids[first % 2])
+    def _restart_entry(self, first_choice, second_choice):
+        self.world.start(self.world.entry_ids[first_choice % 2])
 
-    def _restart_target(self, first, second):
-        target_id = self.world.target_ids[first % 3]
-        if second % 3 == 0:
+    def _restart_target(self, first_choice, second_choice):
+        target_id = self.world.target_ids[first_choice % 3]
+        if second_choice % 3 == 0:
             self.world.stop(target_id)
         else:
             self.world.start(target_id)
 
-    def _drain(self, first, second):
-        target_id = self._target(first)
-        heir_id = self._target(first + 1 + second % 2)
+    def _drain(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
+        heir_id = self._pick_target(first_choice + 1 + second_choice % 2)
         if heir_id not in (None, target_id):
             self.world.drain(target_id, heir_id)
 
-    def _abort_drain(self, first, second):
-        target_id = self._target(first)
+    def _abort_drain(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
             self.world.abort_drain(target_id)
 
-    def _reconnect(self, first, second):
-        target_id = self._target(first)
+    def _reconnect(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
             self.world.reconnect(target_id)
 
-    def _forget_predecessor(self, first, second):
-        target_id = self._target(first)
+    def _forget_predecessor(self, first_choice, second_choice):
+        target_id = self._pick_target(first_choice)
         if target_id is not None:
-            self.world.forget_predecessors(target_id)
+            self.world.report_lost_predecessors(target_id)
 
-    def _replace_drained(self, first, second):
+    def _replace_drained(self, first_choice, second_choice):
         for target_id in filter(self.world.is_awake, self.world.target_ids):
             ledger = self.world.processes_by_slot[target_id].ledger
             if not ledger.stamps(now_s=self.world.now_s):
--- a/packages/savoryyoke/savoryyoke/calls/testing/world.py
+++ b/packages/savoryyoke/savoryyoke/calls/testing/world.py
@@ -1,4 +1,4 @@
-"""Run ledgers and attempts over a small message queue."""
+"""Simulate targets and entries that exchange messages in memory."""
 
 import dataclasses
 import itertools
@@ -19,7 +19,7 @@
 from savoryyoke.calls.testing import oracle as oracles
 
 STEP_S = 0.1
-# Windows are short so that schedules of seconds close them.
+# Windows are short so that schedules of a few seconds close them.
 LEDGER_LIMITS = conf.LedgerLimits(
     window_ms=2_000,
     accept_windows=3,
@@ -33,7 +33,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Message:
-    """Carry a payload between two processes, named by their slots."""
+    """Hold a message between the processes of two slots.
+
+    With an ``incarnation``, only that process of the slot receives it.
+    """
 
     source: str
     destination: str
@@ -43,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """Hold a caller's request in the socket of an entry."""
+    """Hold a caller's request that an entry has not read yet."""
 
     attempt_id: str
     key: object
@@ -52,7 +55,7 @@
 
 
 class Target:
-    """Stand for a target process and the queue before its application."""
+    """Simulate a target process, its queue and its application."""
 
     def __init__(self, *, target_id, incarnation, now_s, limits):
         self.ledger = authority.Ledger(
@@ -64,13 +67,13 @@
         self.incarnation = incarnation
         self.queue = []
         self.running = []
-        self.brought_by_key = {}
+        self.attempt_ids_by_key = {}
         self.fingerprints_by_attempt = {}
         self.export = None
 
 
 class Entry:
-    """Stand for an entry process."""
+    """Simulate an entry process."""
 
     def __init__(self, *, incarnation, now_s, limits):
         self.incarnation = incarnation
@@ -85,7 +88,11 @@
 
 
 class World:
-    """Hold the processes, the messages on their way and the time."""
+    """Hold the processes, the messages in transit and the time.
+
+    A slot is the place of a process; a new process in a slot has a new
+    incarnation. ``cuts`` holds the pairs of slots that can't communicate.
+    """
 
     def __init__(self, *, oracle, targets=2, entries=2, limits=LEDGER_LIMITS):
         self.now_s = 0.0
@@ -97,7 +104,7 @@
         self.cuts = set()
         self.outcomes_by_attempt = {}
         self._incarnations = itertools.count(1)
-        self._attempts = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         self.target_ids = tuple(f't{i}' for i in range(targets))
         self.entry_ids = tuple(f'e{i}' for i in range(entries))
         for slot in (*self.target_ids, *self.entry_ids):
@@ -105,13 +112,16 @@
         self.beat()
 
     def start(self, slot):
-        """Put a new process into ``slot``."""
-        kind, limits = Entry, {'limits': ATTEMPT_LIMITS}
+        """Start a new process in ``slot``, in place of any other."""
+        process_class, arguments = Entry, {'limits': ATTEMPT_LIMITS}
         if slot in self.target_ids:
-            kind, limits = Target, {'limits': self.limits, 'target_id': slot}
+            process_class, arguments = (
+                Target,
+                {'limits': self.limits, 'target_id': slot},
+            )
         self.inboxes_by_frozen_slot.pop(slot, None)
-        self.processes_by_slot[slot] = kind(
-            incarnation=next(self._incarnations), now_s=self.now_s, **limits
+        self.processes_by_slot[slot] = process_class(
+            incarnation=next(self._incarnations), now_s=self.now_s, **arguments
         )
 
     def stop(self, slot):
@@ -125,7 +135,7 @@
             self.inboxes_by_frozen_slot.setdefault(slot, [])
 
     def thaw(self, slot):
-        """Let a process go on; it reads what its peers sent first."""
+        """Resume a process; it reads messages of peers before requests."""
         inbox = self.inboxes_by_frozen_slot.pop(slot, ())
         for message in sorted(
             inbox, key=lambda m: isinstance(m.payload, Request)
@@ -135,9 +145,9 @@
     def call(self, entry_id, key, *, fingerprint=b'a', timeout_s=5.0):
         """Send a request to an entry and return the id of the attempt."""
         entry = self.processes_by_slot[entry_id]
-        number = next(self._attempts)
+        number = next(self._attempt_numbers)
         attempt_id = f'{entry_id}/{entry.incarnation}/{number}'
-        self.oracle.arrive(attempt_id=attempt_id, now_s=self.now_s)
+        self.oracle.record_arrival(attempt_id=attempt_id, now_s=self.now_s)
         request = Request(
             attempt_id=attempt_id,
             key=key,
@@ -163,9 +173,9 @@
         return None if binding is None else binding.bind(suffix=suffix)
 
     def beat(self):
-        """Let each target that is awake give its stamps to all entries.
+        """Deliver the stamps of each target that is awake to all entries.
 
-        Stamps overtake all messages that are on their way.
+        Stamps overtake all messages in transit.
         """
         for target_id in filter(self.is_awake, self.target_ids):
             ledger = self.processes_by_slot[target_id].ledger
@@ -180,14 +190,14 @@
                     )
 
     def is_awake(self, slot):
-        """Return whether the process of ``slot`` lives and is not frozen."""
+        """Return whether the process of ``slot`` runs and is not frozen."""
         return (
             slot in self.processes_by_slot
             and slot not in self.inboxes_by_frozen_slot
         )
 
     def advance(self, seconds):
-        """Let time pass, waking the entries that are not frozen."""
+        """Advance the time in steps; tick the entries that are not frozen."""
         for _ in range(max(1, round(seconds / STEP_S))):
             self.now_s += min(STEP_S, seconds)
             for entry_id in filter(self.is_awake, self.entry_ids):
@@ -199,46 +209,49 @@
                     )
 
     def flow(self):
-        """Deliver the messages on their way and those that they cause."""
+        """Deliver all messages, including those sent in response."""
         for _ in range(200):
             if not self.messages:
                 return
             self.deliver(0)
 
     def deliver(self, index):
-        """Deliver one message."""
+        """Deliver the message at ``index`` of those in transit."""
         self._receive_unless_cut(self.messages.pop(index))
 
     def _receive_unless_cut(self, message):
-        ends = frozenset((message.source, message.destination))
-        if ends not in self.cuts:
+        link = frozenset((message.source, message.destination))
+        if link not in self.cuts:
             self._receive(message)
 
     def apply(self, target_id, event):
         """Apply ``event`` to a ledger and carry out its decisions."""
         target = self.processes_by_slot[target_id]
-        made = target.ledger.apply(event, now_s=self.now_s)
-        for decision in made:
+        decided = target.ledger.apply(event, now_s=self.now_s)
+        for decision in decided:
             self._carry_out(target_id, target, decision)
-        return made
+        return decided
 
     def hand_over(self, target_id, *, accepts=True):
-        """Hand the oldest queued call to the application."""
+        """Hand the oldest queued call to the application.
+
+        Without ``accepts``, the application receives no byte of it.
+        """
         target = self.processes_by_slot[target_id]
         if not target.queue:
             return
         key = target.queue[0]
-        made = self.apply(target_id, events.HandOverRequested(key=key))
-        if decisions.HandOver(key=key) not in made:
+        decided = self.apply(target_id, events.HandOverRequested(key=key))
+        if decisions.HandOver(key=key) not in decided:
             return
         target.queue.remove(key)
         if not accepts:
             self.apply(target_id, events.HandOverFailed(key=key))
             return
         target.running.append(key)
-        attempt_id = target.brought_by_key[key]
+        attempt_id = target.attempt_ids_by_key[key]
         body = f'{key.suffix}@{self.now_s}'.encode()
-        self.oracle.run(
+        self.oracle.record_run(
             key=key,
             attempt_id=attempt_id,
             run=oracles.Run(
@@ -248,14 +261,14 @@
         )
 
     def refuse(self, target_id):
-        """Let admission refuse the oldest queued call."""
+        """Refuse the oldest queued call, as admission does."""
         target = self.processes_by_slot[target_id]
         if target.queue:
             key = target.queue.pop(0)
             self.apply(target_id, events.Refused(key=key, retry_after_s=0.0))
 
     def complete(self, target_id):
-        """Let the application answer its oldest call."""
+        """Answer the oldest running call, as the application does."""
         target = self.processes_by_slot[target_id]
         if target.running:
             key = target.running.pop(0)
@@ -282,27 +295,29 @@
         )
 
     def abort_drain(self, target_id):
-        """Let a leaving target give its heir up, if not too late."""
+        """Cancel the newest export of a leaving target, if not too late."""
         export = self.processes_by_slot[target_id].export
         if export is not None:
             number = export.snapshot.export_number
             self.apply(target_id, events.HeirLost(export_number=number))
 
     def reconnect(self, target_id):
-        """Let a target that has left connect to its heir again."""
+        """Reconnect a target that is leaving to its heir."""
         self.apply(target_id, events.HeirReconnected())
 
-    def forget_predecessors(self, target_id):
-        """Tell a target that all the processes that left are gone."""
-        alive = {p.incarnation for p in self.processes_by_slot.values()}
+    def report_lost_predecessors(self, target_id):
+        """Report to a target that all processes no longer running are lost."""
+        alive = {
+            process.incarnation for process in self.processes_by_slot.values()
+        }
         for incarnation in range(1, max(alive)):
             if incarnation not in alive:
                 self.apply(
                     target_id, events.PredecessorLost(incarnation=incarnation)
                 )
 
-    def leave(self, entry_id):
-        """Let the caller of an entry's oldest attempt go away."""
+    def disconnect_caller(self, entry_id):
+        """Close the connection of the caller of the entry's oldest attempt."""
         for attempt in self.processes_by_slot[
             entry_id
         ].attempts_by_id.values():
@@ -310,7 +325,7 @@
             return
 
     def tick(self, target_id):
-        """Tick a ledger."""
+        """Apply a tick to the ledger of a target."""
         self.apply(target_id, events.Ticked())
 
     def _send(self, source, destination, payload, incarnation=None):
@@ -343,17 +358,17 @@
         entry = self.processes_by_slot.get(message.source)
         if entry is None:
             return
-        sent = message.payload
+        request = message.payload
         unreachable = attempt_events.TargetUnreachable(
-            number=sent.number,
+            number=request.number,
             heir=snapshots.Heir(
-                target_id=entry.routes.find_target(sent.key), incarnation=0
+                target_id=entry.routes.find_target(request.key), incarnation=0
             ),
         )
-        self._send('', message.source, (sent.attempt_id, unreachable))
+        self._send('', message.source, (request.attempt_id, unreachable))
 
     def _receive_at_entry(self, entry_id, entry, payload):
-        doubtful = entry.monitor.observe(now_s=self.now_s)
+        may_predate_pause = entry.monitor.observe(now_s=self.now_s)
         if isinstance(payload, responses.Stamp):
             entry.routes.hear(payload)
         elif isinstance(payload, decisions.NameHeir):
@@ -364,14 +379,14 @@
                     stamp_ms=stamp_ms,
                 )
         elif isinstance(payload, Request):
-            self._start_attempt(entry_id, entry, payload, doubtful)
+            self._start_attempt(entry_id, entry, payload, may_predate_pause)
         else:
             attempt_id, event = payload
             attempt = entry.attempts_by_id.get(attempt_id)
             if attempt is not None:
                 self._apply_attempt(entry_id, attempt, event)
 
-    def _start_attempt(self, entry_id, entry, request, doubtful):
+    def _start_attempt(self, entry_id, entry, request, may_predate_pause):
         attempt = machine.Attempt(
             attempt_id=request.attempt_id,
             key=request.key,
@@ -379,7 +394,7 @@
             target_id=entry.routes.find_target(request.key),
             stamp_ms=entry.routes.find_stamp_ms(request.key),
             deadline_s=self.now_s + request.timeout_s,
-            is_doubtful=doubtful,
+            is_doubtful=may_predate_pause,
             carried=entry.carried,
             limits=ATTEMPT_LIMITS,
         )
@@ -392,7 +407,7 @@
                 self._send(entry_id, decision.target_id, decision.message)
                 continue
             self.outcomes_by_attempt[attempt.attempt_id] = decision.outcome
-            self.oracle.deliver(
+            self.oracle.check_outcome(
                 key=attempt.key,
                 fingerprint=attempt.fingerprint,
                 outcome=decision.outcome,
@@ -417,7 +432,7 @@
     def _carry_out(self, target_id, target, decision):
         if isinstance(decision, decisions.Admit):
             target.queue.append(decision.key)
-            target.brought_by_key[decision.key] = decision.attempt_id
+            target.attempt_ids_by_key[decision.key] = decision.attempt_id
         elif isinstance(decision, decisions.Abandon):
             if decision.key in target.queue:
                 target.queue.remove(decision.key)
--- a/packages/savoryyoke/tests/calls/test_attempts.py
+++ b/packages/savoryyoke/tests/calls/test_attempts.py
@@ -27,7 +27,7 @@
 
 
 class AttemptTest(unittest.TestCase):
-    """Check an attempt that arrived at 0 s with 5 s to live."""
+    """Check an attempt that arrived at 0 s with a deadline at 5 s."""
 
     def setUp(self):
         super().setUp()
@@ -53,42 +53,42 @@
         event = events.OutcomeReceived(number=number, outcome=outcome)
         return self.attempt.apply(event, now_s=now_s)
 
-    def assert_delivers(self, kind, made):
-        self.assertIsInstance(made[-1], decisions.Deliver)
-        self.assertIsInstance(made[-1].outcome, kind)
+    def assert_delivers(self, kind, decided):
+        self.assertIsInstance(decided[-1], decisions.Deliver)
+        self.assertIsInstance(decided[-1].outcome, kind)
         self.assertIsNone(self.attempt.wakes_s)
 
-    def test_offer_carries_a_stamp_from_before_an_unseen_pause(self):
+    def test_offer_has_a_stamp_from_before_an_undetected_pause(self):
         (send,) = self.sent
         self.assertEqual(750, send.message.stamp_ms)
 
-    def test_refusal_is_delivered_only_while_its_seal_holds(self):
+    def test_refusal_is_delivered_only_while_its_seal_is_valid(self):
         self.assert_delivers(outcomes.NotRun, self.receive(NOT_RUN, now_s=0.9))
         self.attempt = self.start()
         (send,) = self.receive(NOT_RUN, now_s=1.0)
         self.assertIsInstance(send.message, ledger_events.SealRequested)
-        made = self.receive(NOT_RUN, now_s=1.1, number=1)
-        self.assert_delivers(outcomes.NotRun, made)
+        decided = self.receive(NOT_RUN, now_s=1.1, number=1)
+        self.assert_delivers(outcomes.NotRun, decided)
 
-    def test_refusal_too_late_to_confirm_is_delivered_as_doubt(self):
-        made = self.receive(NOT_RUN, now_s=5.0)
-        self.assert_delivers(outcomes.MayHaveRun, made)
+    def test_refusal_too_late_to_confirm_becomes_may_have_run(self):
+        decided = self.receive(NOT_RUN, now_s=5.0)
+        self.assert_delivers(outcomes.MayHaveRun, decided)
 
-    def test_deadline_is_met_with_a_seal_before_it(self):
+    def test_seal_is_requested_before_the_deadline(self):
         (send,) = self.attempt.apply(
             events.Ticked(), now_s=self.attempt.wakes_s
         )
         self.assertIsInstance(send.message, ledger_events.SealRequested)
-        made = self.attempt.apply(events.Ticked(), now_s=5.0)
-        self.assert_delivers(outcomes.MayHaveRun, made)
+        decided = self.attempt.apply(events.Ticked(), now_s=5.0)
+        self.assert_delivers(outcomes.MayHaveRun, decided)
         self.assertEqual((), self.receive(RAN, now_s=5.1))
 
-    def test_doubtful_entry_claims_no_stamp(self):
+    def test_attempt_after_a_pause_sends_stamp_zero(self):
         self.start(is_doubtful=True)
         (send,) = self.sent
         self.assertEqual(0, send.message.stamp_ms)
 
-    def test_leaving_caller_only_seals(self):
+    def test_disconnected_caller_causes_only_a_seal(self):
         (send,) = self.attempt.apply(events.CallerLeft(), now_s=1.0)
         self.assertIsInstance(send.message, ledger_events.SealRequested)
         self.assertIsNone(self.attempt.wakes_s)
@@ -98,33 +98,33 @@
         (send,) = self.attempt.apply(unreachable, now_s=0.1)
         self.assertEqual('t2', send.target_id)
         unreachable = events.TargetUnreachable(number=1, heir=HEIR)
-        made = self.attempt.apply(unreachable, now_s=0.2)
-        self.assert_delivers(outcomes.MayHaveRun, made)
+        decided = self.attempt.apply(unreachable, now_s=0.2)
+        self.assert_delivers(outcomes.MayHaveRun, decided)
 
     def test_redirects_are_bounded(self):
         for number in range(LIMITS.redirect_limit + 1):
-            made = self.attempt.apply(
+            decided = self.attempt.apply(
                 events.Redirected(number=number, heir=HEIR), now_s=0.1
             )
-        self.assert_delivers(outcomes.MayHaveRun, made)
+        self.assert_delivers(outcomes.MayHaveRun, decided)
 
     def test_carried_answers_are_bounded(self):
         self.assert_delivers(outcomes.Ran, self.receive(RAN, now_s=1.0))
         self.assertEqual(4, self.carried.total_bytes)
-        self.carried.remember(key='other', fingerprint=b'f', outcome=RAN)
-        self.assertIsNone(self.carried.recall(key=KEY, fingerprint=b'f'))
+        self.carried.add(key='other', fingerprint=b'f', outcome=RAN)
+        self.assertIsNone(self.carried.find(key=KEY, fingerprint=b'f'))
         self.assertEqual(4, self.carried.total_bytes)
 
 
 class RoutesTest(unittest.TestCase):
-    """Check that the newest stamp names the authority."""
+    """Check that the newest stamp identifies the authority."""
 
-    def test_late_stamps_change_nothing(self):
-        heard = routes.Routes(limits=LIMITS)
-        self.assertEqual('t1', heard.find_target(KEY))
+    def test_outdated_stamps_have_no_effect(self):
+        known_routes = routes.Routes(limits=LIMITS)
+        self.assertEqual('t1', known_routes.find_target(KEY))
 
-        def hear(target_id, stamp_ms):
-            heard.hear(
+        def apply_stamp(target_id, stamp_ms):
+            known_routes.hear(
                 responses.Stamp(
                     target_id=target_id,
                     incarnation=1,
@@ -133,17 +133,19 @@
                 )
             )
 
-        hear('t1', 250)
-        binding = heard.make_binding(
+        apply_stamp('t1', 250)
+        binding = known_routes.make_binding(
             service='s', target_id='t1', incarnation=1
         )
         self.assertEqual(2, binding.window)
-        heard.follow(incarnation=1, heir=HEIR, stamp_ms=300)
-        hear('t1', 300)
-        self.assertEqual('t2', heard.find_target(KEY))
-        hear('t2', 301)
-        heard.follow(incarnation=1, heir=HEIR, stamp_ms=300)
-        self.assertEqual(301, heard.find_stamp_ms(KEY))
+        known_routes.follow(incarnation=1, heir=HEIR, stamp_ms=300)
+        apply_stamp('t1', 300)
+        self.assertEqual('t2', known_routes.find_target(KEY))
+        apply_stamp('t2', 301)
+        known_routes.follow(incarnation=1, heir=HEIR, stamp_ms=300)
+        self.assertEqual(301, known_routes.find_stamp_ms(KEY))
         self.assertIsNone(
-            heard.make_binding(service='s', target_id='t1', incarnation=1)
+            known_routes.make_binding(
+                service='s', target_id='t1', incarnation=1
+            )
         )
--- a/packages/savoryyoke/tests/calls/test_failures.py
+++ b/packages/savoryyoke/tests/calls/test_failures.py
@@ -1,4 +1,4 @@
-"""Test calls through entries and targets that fail."""
+"""Test calls while entries and targets fail."""
 
 import unittest
 
@@ -8,7 +8,10 @@
 
 
 class FailureTest(unittest.TestCase):
-    """Check one failure after another; the oracle judges each answer."""
+    """Check the outcome of calls in each failure.
+
+    The oracle raises ``FalseAnswer`` on a second run or an untrue answer.
+    """
 
     def setUp(self):
         super().setUp()
@@ -34,42 +37,42 @@
         if reason is not None:
             self.assertEqual(reason, outcome.reason)
 
-    def come_back(self):
+    def pass_seal_hold(self):
         self.world.advance(2.0)
         self.world.beat()
 
-    def test_entry_frozen_after_sending_thaws_after_the_repeat(self):
-        first = self.world.call('e0', self.key)
+    def test_entry_frozen_after_sending_resumes_after_the_repeat(self):
+        first_id = self.world.call('e0', self.key)
         self.world.freeze('e0')
-        (late,) = self.world.messages
+        (delayed_offer,) = self.world.messages
         self.world.messages.clear()
-        repeat = self.call('e1')
+        repeat_id = self.call('e1')
         self.serve()
-        self.assert_outcome(outcomes.Ran, repeat)
-        self.world.messages.append(late)
+        self.assert_outcome(outcomes.Ran, repeat_id)
+        self.world.messages.append(delayed_offer)
         self.world.flow()
         self.world.advance(1.0)
         self.world.thaw('e0')
-        self.assert_outcome(outcomes.Ran, first)
+        self.assert_outcome(outcomes.Ran, first_id)
 
-    def test_refusal_read_after_a_freeze_is_confirmed_first(self):
-        first = self.call('e0')
+    def test_refusal_read_after_a_pause_is_sealed_again_first(self):
+        first_id = self.call('e0')
         self.world.freeze('e0')
         self.world.refuse('t0')
         self.world.flow()
-        self.come_back()
+        self.pass_seal_hold()
         self.call('e1')
         self.serve()
         self.world.thaw('e0')
         self.world.flow()
-        self.assert_outcome(outcomes.Ran, first)
+        self.assert_outcome(outcomes.Ran, first_id)
 
     def test_request_that_waited_in_a_frozen_entry_is_not_run(self):
         for pause_s in (0.2, 3.0):
             with self.subTest(pause_s=pause_s):
                 key = self.world.bind('t0', suffix=f'pause-{pause_s}')
                 self.world.freeze('e0')
-                waited = self.world.call('e0', key)
+                waited_id = self.world.call('e0', key)
                 self.call('e1', key)
                 self.world.refuse('t0')
                 self.world.flow()
@@ -77,40 +80,40 @@
                 self.world.beat()
                 self.world.thaw('e0')
                 self.world.flow()
-                self.assert_outcome(outcomes.NotRun, waited)
-                self.come_back()
+                self.assert_outcome(outcomes.NotRun, waited_id)
+                self.pass_seal_hold()
 
     def test_target_dies_after_the_hand_over_and_is_restarted(self):
-        first = self.call('e0')
+        first_id = self.call('e0')
         self.world.hand_over('t0')
         self.world.stop('t0')
         self.world.start('t0')
         self.world.beat()
-        repeat = self.call('e1')
-        gone = outcomes.MayHaveRunReason.INCARNATION_GONE
-        self.assert_outcome(outcomes.MayHaveRun, repeat, gone)
+        repeat_id = self.call('e1')
+        reason = outcomes.MayHaveRunReason.INCARNATION_GONE
+        self.assert_outcome(outcomes.MayHaveRun, repeat_id, reason)
         self.serve()
         self.world.advance(5.1)
-        self.assert_outcome(outcomes.MayHaveRun, first)
+        self.assert_outcome(outcomes.MayHaveRun, first_id)
 
     def test_application_is_replaced_while_the_target_lives(self):
-        lost = self.call('e0')
+        lost_id = self.call('e0')
         self.world.hand_over('t0')
-        queued = self.call('e0', self.world.bind('t0', suffix='queued'))
+        queued_id = self.call('e0', self.world.bind('t0', suffix='queued'))
         self.world.replace_application('t0')
         self.world.flow()
         reason = outcomes.MayHaveRunReason.APPLICATION_LOST
-        self.assert_outcome(outcomes.MayHaveRun, lost, reason)
+        self.assert_outcome(outcomes.MayHaveRun, lost_id, reason)
         self.assert_outcome(outcomes.MayHaveRun, self.call('e1'), reason)
         self.serve()
-        self.assert_outcome(outcomes.Ran, queued)
+        self.assert_outcome(outcomes.Ran, queued_id)
 
     def test_target_is_replaced_while_the_application_lives(self):
         self.call('e0')
         self.serve()
         self.world.start('t0')
         self.world.beat()
-        # The entry that carried the answer still knows it.
+        # The entry that forwarded the answer still has a copy.
         self.assert_outcome(outcomes.Ran, self.call('e0'))
         self.assert_outcome(outcomes.MayHaveRun, self.call('e1'))
         self.assert_outcome(
@@ -141,23 +144,25 @@
         self.serve()
         self.assert_outcome(outcomes.Ran, attempt_id)
 
-    def test_partition_gives_entries_different_beliefs(self):
+    def test_partitioned_entry_learns_of_the_heir_later(self):
         self.world.cuts.add(frozenset(('e1', 't0')))
         self.world.drain('t0', 't1')
         self.world.flow()
         self.world.stop('t0')
-        # One entry goes to the heir, the other to an address with nobody.
-        run = self.call('e0')
-        doubt = self.call('e1', timeout_s=1.0)
+        # One entry sends to the heir, the other to a target that has stopped.
+        reachable_id = self.call('e0')
+        cut_off_id = self.call('e1', timeout_s=1.0)
         self.serve('t1')
-        self.assert_outcome(outcomes.Ran, run)
+        self.assert_outcome(outcomes.Ran, reachable_id)
         self.world.advance(1.0)
-        self.assert_outcome(outcomes.MayHaveRun, doubt)
+        self.assert_outcome(outcomes.MayHaveRun, cut_off_id)
         self.world.beat()
         self.assert_outcome(outcomes.Ran, self.call('e1'))
 
     def test_same_key_at_two_entries_at_the_same_moment(self):
-        attempt_ids = [self.world.call(e, self.key) for e in ('e0', 'e1')]
+        attempt_ids = [
+            self.world.call(entry_id, self.key) for entry_id in ('e0', 'e1')
+        ]
         self.world.flow()
         self.serve()
         self.serve()
@@ -165,49 +170,49 @@
             self.assert_outcome(outcomes.Ran, attempt_id)
 
     def test_same_key_with_another_body(self):
-        first = self.call('e0')
-        other = self.call('e1', fingerprint=b'other')
-        self.assert_outcome(outcomes.Rejected, other)
+        first_id = self.call('e0')
+        other_id = self.call('e1', fingerprint=b'other')
+        self.assert_outcome(outcomes.Rejected, other_id)
         self.serve()
-        self.assert_outcome(outcomes.Ran, first)
+        self.assert_outcome(outcomes.Ran, first_id)
 
     def test_delayed_offer_arrives_after_the_refusal(self):
-        first = self.world.call('e0', self.key, timeout_s=1.0)
-        (delayed,) = self.world.messages
+        first_id = self.world.call('e0', self.key, timeout_s=1.0)
+        (delayed_offer,) = self.world.messages
         self.world.messages.clear()
         self.world.advance(1.1)
         self.world.flow()
-        self.assert_outcome(outcomes.MayHaveRun, first)
-        refused = self.call('e1')
-        self.assert_outcome(outcomes.NotRun, refused)
-        self.world.messages.append(delayed)
+        self.assert_outcome(outcomes.MayHaveRun, first_id)
+        refused_id = self.call('e1')
+        self.assert_outcome(outcomes.NotRun, refused_id)
+        self.world.messages.append(delayed_offer)
         self.world.flow()
         self.serve()
         self.assertEqual({}, self.oracle.runs_by_key)
-        self.come_back()
-        returned = self.call('e1')
+        self.pass_seal_hold()
+        retried_id = self.call('e1')
         self.serve()
-        self.assert_outcome(outcomes.Ran, returned)
+        self.assert_outcome(outcomes.Ran, retried_id)
 
-    def test_planned_stop_refuses_nothing_and_leaves_no_doubt(self):
-        waiting = [self.call('e0')]
+    def test_planned_stop_answers_every_call(self):
+        waiting_ids = [self.call('e0')]
         self.world.hand_over('t0')
         keys = [self.world.bind('t0', suffix=f's{i}') for i in range(4)]
-        waiting.append(self.call('e1', keys[0]))
+        waiting_ids.append(self.call('e1', keys[0]))
         self.world.drain('t0', 't1')
-        parked = self.world.call('e0', keys[1])
+        parked_id = self.world.call('e0', keys[1])
         self.world.deliver(1)
         self.world.flow()
-        late = [self.call('e1', keys[2]), self.call('e0')]
+        late_ids = [self.call('e1', keys[2]), self.call('e0')]
         self.serve()
         self.world.hand_over('t0')
         self.world.complete('t0')
         for _ in range(3):
             self.serve('t1')
-        for attempt_id in (*waiting, parked, *late):
+        for attempt_id in (*waiting_ids, parked_id, *late_ids):
             self.assert_outcome(outcomes.Ran, attempt_id)
         target = self.world.processes_by_slot['t0']
         self.assertEqual(0, target.ledger.in_progress_count)
         self.world.stop('t0')
-        repeat = self.call('e1', keys[0])
-        self.assert_outcome(outcomes.Ran, repeat)
+        repeat_id = self.call('e1', keys[0])
+        self.assert_outcome(outcomes.Ran, repeat_id)
--- a/packages/savoryyoke/tests/calls/test_keys.py
+++ b/packages/savoryyoke/tests/calls/test_keys.py
@@ -13,7 +13,7 @@
 
 
 class BoundKeyTest(unittest.TestCase):
-    """Check that each key has one text and each text at most one key."""
+    """Check that each key has exactly one text form."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
     @hypothesis.given(
@@ -27,22 +27,22 @@
         self.assertEqual(key, keys.parse(key.format()))
 
     def test_other_texts_are_rejected(self):
-        good = f'sy1~t1~{7:016x}~3~order-1'
-        self.assertEqual('order-1', keys.parse(good).suffix)
+        valid = f'sy1~t1~{7:016x}~3~order-1'
+        self.assertEqual('order-1', keys.parse(valid).suffix)
         for text in (
             'order-1',
             '',
-            good + '~x',
-            good.replace('~3~', '~03~'),
-            good.replace('~3~', '~-3~'),
-            good.replace('~3~', '~٣~'),
-            good.replace('7', 'A'),
-            good.replace('sy1', 'sy2'),
-            good.replace('order-1', ''),
-            good.replace('order-1', 'a b'),
-            good.replace('order-1', 'x' * 129),
-            good.replace('t1', 't' * 240),
-            good + '\n',
+            valid + '~x',
+            valid.replace('~3~', '~03~'),
+            valid.replace('~3~', '~-3~'),
+            valid.replace('~3~', '~٣~'),
+            valid.replace('7', 'A'),
+            valid.replace('sy1', 'sy2'),
+            valid.replace('order-1', ''),
+            valid.replace('order-1', 'a b'),
+            valid.replace('order-1', 'x' * 129),
+            valid.replace('t1', 't' * 240),
+            valid + '\n',
         ):
             with self.subTest(text):
                 self.assertRaises(exceptions.InvalidKey, keys.parse, text)
--- a/packages/savoryyoke/tests/calls/test_ledger.py
+++ b/packages/savoryyoke/tests/calls/test_ledger.py
@@ -1,4 +1,4 @@
-"""Test the ledger's rules one by one."""
+"""Test the rules of the ledger one by one."""
 
 import dataclasses
 import unittest
@@ -41,7 +41,7 @@
 
 
 def make_seal(key, *, attempt_id='a1', **changes):
-    """Return the request of an attempt to close its key."""
+    """Return the request of an attempt to seal its key."""
     seal = events.SealRequested(
         key=key, fingerprint=b'f', attempt_id=attempt_id, number=1
     )
@@ -49,7 +49,7 @@
 
 
 class LedgerCase(unittest.TestCase):
-    """Hold a ledger that started at 0 s."""
+    """Provide a ledger that started at 0 s."""
 
     def setUp(self):
         super().setUp()
@@ -73,19 +73,19 @@
         self.apply(events.Completed(key=key, answer=answer), now_s=now_s)
 
     def outcome(self, event, *, now_s=0.0, ledger=None):
-        made = self.apply(event, now_s=now_s, ledger=ledger)
-        answers = [d for d in made if isinstance(d, decisions.Respond)]
+        decided = self.apply(event, now_s=now_s, ledger=ledger)
+        answers = [d for d in decided if isinstance(d, decisions.Respond)]
         return answers[0].outcome
 
     def assert_admits(self, event, *, now_s=0.0, ledger=None):
-        made = self.apply(event, now_s=now_s, ledger=ledger)
-        self.assertIsInstance(made[0], decisions.Admit)
+        decided = self.apply(event, now_s=now_s, ledger=ledger)
+        self.assertIsInstance(decided[0], decisions.Admit)
 
 
 class SealTest(LedgerCase):
     """Check which attempts a refusal voids."""
 
-    def test_seal_voids_stamps_up_to_the_end_of_its_hold(self):
+    def test_seal_voids_stamps_until_its_hold_time_ends(self):
         refused = self.outcome(make_seal(self.key))
         self.assertEqual(outcomes.NotRunReason.SEALED, refused.reason)
         self.assertLessEqual(refused.holds_for_s * 1000, HOLD_MS)
@@ -108,27 +108,27 @@
         newer = make_key('n', window=2)
         self.assert_admits(make_offer(newer), now_s=later_s)
 
-    def test_last_attempt_takes_a_queued_call_out(self):
+    def test_seal_of_the_last_attempt_abandons_a_queued_call(self):
         self.apply(make_offer(self.key))
         self.apply(make_offer(self.key, attempt_id='a2'))
         shared = self.outcome(make_seal(self.key))
         self.assertIsInstance(shared, outcomes.MayHaveRun)
-        made = self.apply(make_seal(self.key, attempt_id='a2'))
-        self.assertEqual(decisions.Abandon(key=self.key), made[0])
-        self.assertEqual([1, 0], [decision.number for decision in made[1:]])
-        made = self.apply(events.HandOverRequested(key=self.key))
-        self.assertEqual((decisions.Abandon(key=self.key),), made)
+        decided = self.apply(make_seal(self.key, attempt_id='a2'))
+        self.assertEqual(decisions.Abandon(key=self.key), decided[0])
+        self.assertEqual([1, 0], [decision.number for decision in decided[1:]])
+        decided = self.apply(events.HandOverRequested(key=self.key))
+        self.assertEqual((decisions.Abandon(key=self.key),), decided)
 
-    def test_unwanted_call_is_not_handed_over(self):
+    def test_call_past_its_deadline_is_not_handed_over(self):
         self.apply(make_offer(self.key))
         request = events.HandOverRequested(key=self.key)
-        made = self.apply(request, now_s=5.0)
-        self.assertNotIn(decisions.HandOver(key=self.key), made)
-        self.assertIsInstance(made[1].outcome, outcomes.NotRun)
+        decided = self.apply(request, now_s=5.0)
+        self.assertNotIn(decisions.HandOver(key=self.key), decided)
+        self.assertIsInstance(decided[1].outcome, outcomes.NotRun)
 
 
 class RecordTest(LedgerCase):
-    """Check what is said of calls that ended, and of forgotten ones."""
+    """Check the outcomes of calls that ended or lost their record."""
 
     def test_repeat_gets_the_answer_and_another_body_is_rejected(self):
         self.run_call(self.key)
@@ -145,21 +145,21 @@
         self.apply(make_offer(self.key))
         other = make_seal(self.key, fingerprint=b'other')
         self.assertIsInstance(self.outcome(other), outcomes.Rejected)
-        made = self.apply(events.HandOverRequested(key=self.key))
-        self.assertEqual((decisions.HandOver(key=self.key),), made)
+        decided = self.apply(events.HandOverRequested(key=self.key))
+        self.assertEqual((decisions.HandOver(key=self.key),), decided)
 
     def test_record_dropped_for_age(self):
         self.run_call(self.key)
         closed_s = WINDOW_S * LIMITS.accept_windows
-        never = make_key('never')
-        refused = self.outcome(make_offer(never), now_s=closed_s)
+        unused = make_key('never')
+        refused = self.outcome(make_offer(unused), now_s=closed_s)
         self.assertEqual(outcomes.NotRunReason.WINDOW_CLOSED, refused.reason)
         dropped_s = WINDOW_S * LIMITS.record_windows
         self.apply(events.Ticked(), now_s=dropped_s)
         self.assertEqual(0, self.ledger.record_count)
-        for key in (self.key, never):
-            doubt = self.outcome(make_offer(key), now_s=dropped_s)
-            self.assertIsInstance(doubt, outcomes.MayHaveRun)
+        for key in (self.key, unused):
+            uncertain = self.outcome(make_offer(key), now_s=dropped_s)
+            self.assertIsInstance(uncertain, outcomes.MayHaveRun)
 
     def test_record_dropped_for_memory(self):
         for i in range(LIMITS.record_limit):
@@ -171,8 +171,8 @@
         self.assertIsInstance(self.outcome(void), outcomes.NotRun)
         fresh = make_key('fresh', window=LIMITS.accept_windows)
         self.assert_admits(make_offer(fresh), now_s=closed_s)
-        doubt = self.outcome(make_offer(make_key('old0')), now_s=closed_s)
-        self.assertIsInstance(doubt, outcomes.MayHaveRun)
+        uncertain = self.outcome(make_offer(make_key('old0')), now_s=closed_s)
+        self.assertIsInstance(uncertain, outcomes.MayHaveRun)
 
     def test_full_ledger_voids_attempts_that_arrived_before(self):
         limits = dataclasses.replace(LIMITS, record_limit=1)
@@ -182,7 +182,7 @@
         full_s = closed_s - 0.5
         key = make_key(window=LIMITS.accept_windows - 1)
         self.outcome(make_offer(key), now_s=full_s)
-        # The old record makes room now, but the refusal must stay true.
+        # The old record can be dropped now, but the refusal remains valid.
         held_ms = int(full_s * 1000) + HOLD_MS
         void = make_offer(key, stamp_ms=held_ms)
         refused = self.outcome(void, now_s=closed_s)
@@ -192,26 +192,28 @@
         self.apply(make_offer(self.key))
         self.apply(events.HandOverRequested(key=self.key))
         self.apply(events.Ticked(), now_s=WINDOW_S * 1_000)
-        made = self.apply(events.Completed(key=self.key, answer=ANSWER))
-        self.assertEqual(outcomes.Ran(answer=ANSWER), made[0].outcome)
+        decided = self.apply(events.Completed(key=self.key, answer=ANSWER))
+        self.assertEqual(outcomes.Ran(answer=ANSWER), decided[0].outcome)
 
-    def test_answers_beyond_their_limit_are_known_without_body(self):
+    def test_answers_beyond_the_limit_lose_their_body(self):
         limits = dataclasses.replace(
             LIMITS, answer_limit_bytes=8, answers_limit_bytes=8
         )
         self.ledger = self.make_ledger(limits)
         large = outcomes.Answer(status=200, body=b'x' * 9)
-        sizes = {'large': large, 'older': ANSWER, 'newer': ANSWER}
-        for suffix, answer in sizes.items():
+        answers_by_suffix = {'large': large, 'older': ANSWER, 'newer': ANSWER}
+        for suffix, answer in answers_by_suffix.items():
             if suffix == 'newer':
                 answer = dataclasses.replace(ANSWER, body=b'12345')
             self.run_call(make_key(suffix), answer=answer)
-        kinds = [
+        outcome_types = [
             type(self.outcome(make_offer(make_key(suffix))))
-            for suffix in sizes
+            for suffix in answers_by_suffix
         ]
-        gone = outcomes.RanWithoutAnswer
-        self.assertEqual([gone, gone, outcomes.Ran], kinds)
+        without_answer = outcomes.RanWithoutAnswer
+        self.assertEqual(
+            [without_answer, without_answer, outcomes.Ran], outcome_types
+        )
         self.assertEqual(5, self.ledger.answers_bytes)
 
     def test_attempts_per_key_are_bounded(self):
@@ -219,8 +221,8 @@
             self.apply(make_offer(self.key, attempt_id=f'a{i}'))
         extra = make_offer(self.key, attempt_id='extra')
         self.assertIsInstance(self.outcome(extra), outcomes.MayHaveRun)
-        made = self.apply(extra, now_s=6.0)
-        self.assertEqual(LIMITS.attempts_per_key_limit, len(made))
+        decided = self.apply(extra, now_s=6.0)
+        self.assertEqual(LIMITS.attempts_per_key_limit, len(decided))
 
     def test_unexpected_keys_and_events_are_rejected(self):
         future = make_key(window=1)
@@ -231,46 +233,46 @@
 
 
 class HandoverTest(LedgerCase):
-    """Check the hand-over of a ledger to an heir."""
+    """Check the handover of a ledger to an heir."""
 
     def setUp(self):
         super().setUp()
         self.heir = self.make_ledger(LIMITS, target_id='t2', incarnation=2)
 
     def export(self):
-        made = self.apply(events.DrainStarted(heir=HEIR))
-        return made[0].snapshot
+        decided = self.apply(events.DrainStarted(heir=HEIR))
+        return decided[0].snapshot
 
     def hand_over(self):
         snapshot = self.export()
-        made = self.apply(
+        decided = self.apply(
             events.Inherited(snapshot=snapshot), ledger=self.heir
         )
-        self.assertIsInstance(made[0], decisions.AcknowledgeImport)
+        self.assertIsInstance(decided[0], decisions.AcknowledgeImport)
         return self.apply(
             events.ImportAcknowledged(export_number=snapshot.export_number)
         )
 
-    def test_heir_repeats_known_calls_and_runs_unknown_ones(self):
+    def test_heir_repeats_recorded_calls_and_runs_others(self):
         self.run_call(self.key)
         self.hand_over()
         offer = make_offer(self.key)
-        made = self.apply(offer)
-        self.assertEqual(HEIR, made[0].heir)
+        decided = self.apply(offer)
+        self.assertEqual(HEIR, decided[0].heir)
         ran = self.outcome(offer, ledger=self.heir)
         self.assertEqual(outcomes.Ran(answer=ANSWER), ran)
         self.assert_admits(make_offer(make_key('new')), ledger=self.heir)
 
-    def test_no_stamp_is_given_out_twice(self):
-        # The last stamp of the old process and the first of the heir.
+    def test_no_stamp_is_sent_twice(self):
+        # The first stamp of the heir is newer than the last of the process.
         self.export()
         (frozen,) = self.ledger.stamps(now_s=9.0)
         self.assertEqual(0, frozen.stamp_ms)
         self.apply(events.HeirLost(export_number=1))
         self.hand_over()
         self.assertEqual((), self.ledger.stamps(now_s=9.0))
-        made = self.heir.stamps(now_s=0.0)
-        self.assertEqual([2], [stamp.incarnation for stamp in made])
+        stamps = self.heir.stamps(now_s=0.0)
+        self.assertEqual([2], [stamp.incarnation for stamp in stamps])
         confirmed = events.HeirConfirmed(source_incarnation=1, export_number=2)
         self.apply(confirmed, ledger=self.heir)
         self.assertEqual(1, self.heir.stamps(now_s=0.0)[1].stamp_ms)
@@ -281,12 +283,12 @@
         self.hand_over()
         repeat = make_offer(self.key, attempt_id='a2')
         self.assertEqual((), self.apply(repeat, ledger=self.heir))
-        made = self.apply(events.Completed(key=self.key, answer=ANSWER))
-        self.assertEqual('a1', made[0].attempt_id)
-        transferred = events.RecordTransferred(record=made[1].record)
-        made = self.apply(transferred, ledger=self.heir)
-        self.assertEqual('a2', made[0].attempt_id)
-        self.assertEqual(outcomes.Ran(answer=ANSWER), made[0].outcome)
+        decided = self.apply(events.Completed(key=self.key, answer=ANSWER))
+        self.assertEqual('a1', decided[0].attempt_id)
+        transferred = events.RecordTransferred(record=decided[1].record)
+        decided = self.apply(transferred, ledger=self.heir)
+        self.assertEqual('a2', decided[0].attempt_id)
+        self.assertEqual(outcomes.Ran(answer=ANSWER), decided[0].outcome)
         self.assertEqual((), self.apply(transferred, ledger=self.heir))
 
     def test_lost_transfers_are_repeated(self):
@@ -294,51 +296,53 @@
         self.hand_over()
         reconnected = events.HeirReconnected()
         self.assertEqual((), self.apply(reconnected))
-        made = self.apply(events.Refused(key=self.key, retry_after_s=0.0))
-        self.assertEqual(made[1:], self.apply(reconnected))
+        decided = self.apply(events.Refused(key=self.key, retry_after_s=0.0))
+        self.assertEqual(decided[1:], self.apply(reconnected))
 
-    def test_predecessor_that_died_leaves_its_calls_in_doubt(self):
+    def test_calls_of_a_lost_predecessor_may_have_run(self):
         self.apply(make_offer(self.key))
         self.hand_over()
         self.apply(make_offer(self.key), ledger=self.heir)
         lost = events.PredecessorLost(incarnation=1)
-        made = self.apply(lost, ledger=self.heir)
-        self.assertIsInstance(made[0].outcome, outcomes.MayHaveRun)
+        decided = self.apply(lost, ledger=self.heir)
+        self.assertIsInstance(decided[0].outcome, outcomes.MayHaveRun)
         again = self.outcome(make_offer(self.key), ledger=self.heir)
         self.assertIsInstance(again, outcomes.MayHaveRun)
 
-    def test_nothing_reopens_after_the_hand_over(self):
+    def test_handover_is_final(self):
         self.hand_over()
         self.assertEqual((), self.apply(events.HeirLost(export_number=1)))
-        made = self.apply(make_offer(self.key))
-        self.assertIsInstance(made[0], decisions.Redirect)
-        made = self.apply(events.DrainStarted(heir=HEIR))
-        self.assertEqual((), made)
+        decided = self.apply(make_offer(self.key))
+        self.assertIsInstance(decided[0], decisions.Redirect)
+        decided = self.apply(events.DrainStarted(heir=HEIR))
+        self.assertEqual((), decided)
 
-    def test_given_up_export_cannot_be_acknowledged_late(self):
+    def test_cancelled_export_cannot_be_acknowledged_later(self):
         self.export()
         offer = make_offer(self.key)
         self.assertEqual((), self.apply(offer))
-        made = self.apply(events.HeirLost(export_number=1))
-        self.assertIsInstance(made[0], decisions.Admit)
+        decided = self.apply(events.HeirLost(export_number=1))
+        self.assertIsInstance(decided[0], decisions.Admit)
         late = events.ImportAcknowledged(export_number=1)
         self.assertEqual((), self.apply(late))
 
     def test_late_snapshot_does_not_reach_a_restarted_heir(self):
         snapshot = self.export()
         restarted = self.make_ledger(LIMITS, target_id='t2', incarnation=3)
-        made = self.apply(
+        decided = self.apply(
             events.Inherited(snapshot=snapshot), ledger=restarted
         )
-        self.assertIsInstance(made[0], decisions.RefuseImport)
+        self.assertIsInstance(decided[0], decisions.RefuseImport)
 
     def test_late_snapshot_does_not_undo_runs_at_the_heir(self):
         stale = self.export()
         self.apply(events.HeirLost(export_number=1))
         self.hand_over()
         self.apply(make_offer(self.key), ledger=self.heir)
-        made = self.apply(events.Inherited(snapshot=stale), ledger=self.heir)
-        self.assertIsInstance(made[0], decisions.RefuseImport)
+        decided = self.apply(
+            events.Inherited(snapshot=stale), ledger=self.heir
+        )
+        self.assertIsInstance(decided[0], decisions.RefuseImport)
         self.assertEqual(1, self.heir.in_progress_count)
 
     def test_chain_of_heirs(self):
--- a/packages/savoryyoke/tests/calls/test_schedules.py
+++ b/packages/savoryyoke/tests/calls/test_schedules.py
@@ -1,4 +1,4 @@
-"""Compare ledgers and attempts with the omniscient oracle."""
+"""Test ledgers and attempts under random schedules of failures."""
 
 import contextlib
 import dataclasses
@@ -33,7 +33,10 @@
 
 
 def _check_schedules(*, examples=EXAMPLES, seen=None, phases=_PHASES):
-    """Run ``examples`` schedules; raise ``FalseAnswer`` at a false one."""
+    """Run ``examples`` schedules; raise ``FalseAnswer`` on a fault.
+
+    The kinds of outcomes that occurred are added to ``seen``.
+    """
 
     @hypothesis.settings(
         derandomize=True,
@@ -62,9 +65,9 @@
 
 
 class ScheduleTest(unittest.TestCase):
-    """Check the promises under failures in any order."""
+    """Check runs and answers under failures in any order."""
 
-    def test_promises_hold_under_random_failures(self):
+    def test_answers_are_true_under_random_failures(self):
         seen = set()
         _check_schedules(seen=seen)
         expected = {'Ran', 'NotRun', 'MayHaveRun', 'Rejected'}
@@ -73,7 +76,7 @@
 
 def _copy_as_sealed(record, *, answer):
     copy = snapshots.RecordCopy(
-        key=record.book.key(record),
+        key=record.table.make_key(record),
         fingerprint=record.fingerprint,
         phase=record.phase,
         seal_ms=record.seal_ms,
@@ -85,11 +88,11 @@
     return dataclasses.replace(copy, phase=records.Phase.SEALED)
 
 
-def _is_awaiting_for_ever(self, *, export_number):
+def _awaits_acknowledgement_forever(self, *, export_number):
     return self.heir is not None and self._export_number == export_number
 
 
-class _RestartedTarget(worlds.Target):
+class _TargetWithReusedIncarnation(worlds.Target):
     def __init__(self, *, target_id, incarnation, now_s, limits):
         incarnation = 1_000 + int(target_id[1:])
         super().__init__(
@@ -102,14 +105,20 @@
 
 MUTATIONS = {
     'without the stamp check': (
-        (rules.Rules, '_refusal', lambda *args: None),
+        (rules.Rules, '_find_refusal_reason', lambda *args: None),
     ),
     'without the window floors': (
-        (rules.Rules, '_refuse_by_window', lambda *args: ()),
+        (rules.Rules, '_respond_by_window', lambda *args: ()),
+    ),
+    'without new incarnations': (
+        (worlds, 'Target', _TargetWithReusedIncarnation),
     ),
-    'without new incarnations': ((worlds, 'Target', _RestartedTarget),),
     'reopening after the hand-over': (
-        (handover.Handover, 'is_awaiting', _is_awaiting_for_ever),
+        (
+            handover.Handover,
+            'awaits_acknowledgement',
+            _awaits_acknowledgement_forever,
+        ),
     ),
     'forgetting calls in progress at a hand-over': (
         (snapshots, 'copy_record', _copy_as_sealed),
@@ -118,7 +127,7 @@
 
 
 class MutationTest(unittest.TestCase):
-    """Check that the schedules find each rule that is left out."""
+    """Check that the schedules detect the loss of each rule."""
 
     def test_each_mutation_is_found(self):
         for name, patches in MUTATIONS.items():
