--- a/packages/savoryyoke/savoryyoke/catalogue/__init__.py
+++ b/packages/savoryyoke/savoryyoke/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what operators have accepted: routes, services, teams and limits."""
+"""Define the configuration in use: routes, services, teams and limits."""
--- a/packages/savoryyoke/savoryyoke/catalogue/models.py
+++ b/packages/savoryyoke/savoryyoke/catalogue/models.py
@@ -1,11 +1,11 @@
-"""The accepted configuration as immutable values."""
+"""Define the accepted configuration as immutable values."""
 
 import dataclasses
 import enum
 
 
 class RequestKind(enum.Enum):
-    """Say how often a request may run and how it is answered."""
+    """Define whether a request may run again and how it is answered."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non-idempotent'
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Destination:
-    """Name a service of a route and its share of the requests."""
+    """Name a service of a route and its relative share of the requests."""
 
     service_name: str
     weight: float
@@ -22,13 +22,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """Describe which requests go to which services, and on what terms.
+    """Describe which requests go to which services, and with which limits.
 
-    ``timeout_s`` bounds the whole request. ``objective_s`` bounds the time
-    to the answer, or to the first event of a stream; ``gap_objective_s``
-    bounds the pause between two events. Rank 0 of ``priority`` goes first.
-    ``attempts_limit`` counts the targets that one request may be sent to.
-    An empty ``regions`` allows every region.
+    ``timeout_s`` limits the whole request. ``objective_s`` is the latency
+    objective for the answer, or for the first event of a stream;
+    ``gap_objective_s`` is the objective for the time between two events. The
+    ``priority`` 0 is the highest. ``attempts_limit`` is the number of targets
+    that one request may be sent to. An empty ``regions`` allows every region.
     """
 
     name: str
@@ -55,9 +55,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ColdLimit:
-    """Bound the requests that a cold target may be sent.
+    """Limit the rate of requests that are sent to a cold target.
 
-    ``rate_per_s`` is the sum over all entries.
+    ``rate_per_s`` is the total rate of all entries.
     """
 
     rate_per_s: float
@@ -67,7 +67,8 @@
 class Service:
     """Describe the targets of a service.
 
-    ``slots`` is None where each target states its own.
+    ``slots`` is the number of batch slots of each target, or None if each
+    target reports its own.
     """
 
     name: str
@@ -78,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Team:
-    """Name a team; its ``priority``, if any, replaces that of the route."""
+    """Describe a team; its ``priority``, if any, overrides the route's."""
 
     name: str
     priority: int | None
@@ -86,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """Bound what a caller may send and how long it may take."""
+    """Limit the size of a caller's request and the time to send it."""
 
     header_bytes: int
     body_bytes: int
@@ -98,8 +99,8 @@
 class Catalogue:
     """Hold one accepted version of the configuration.
 
-    Routes are found by host and then by path prefix. ``teams_by_key`` is
-    None where requests carry no key.
+    Routes are looked up by host and then by path prefix. ``teams_by_key`` is
+    None if requests have no API key.
     """
 
     version: int
@@ -121,14 +122,14 @@
         return None
 
     def find_team(self, *, key):
-        """Return the team that holds ``key``, or None."""
+        """Return the team with the API key ``key``, or None."""
         if self.teams_by_key is None or key is None:
             return None
         return self.teams_by_key.get(key)
 
 
 def index_routes(routes):
-    """Return ``routes`` by prefix by host."""
+    """Return a dictionary by host of dictionaries of routes by prefix."""
     indexed = {}
     for route in routes:
         indexed.setdefault(route.host, {})[route.path_prefix] = route
--- a/packages/savoryyoke/tests/catalogue/test_catalogue.py
+++ b/packages/savoryyoke/tests/catalogue/test_catalogue.py
@@ -1,4 +1,4 @@
-"""Test how routes and teams are found."""
+"""Test the lookup of routes and teams."""
 
 import unittest
 
@@ -6,8 +6,8 @@
 
 
 def build_route(prefix, *, host='api.example', **changes):
-    """Return a route with plain terms."""
-    terms = {
+    """Return a route with default values, except for ``changes``."""
+    fields = {
         'name': f'{host}{prefix}',
         'host': host,
         'path_prefix': prefix,
@@ -22,7 +22,7 @@
         'is_resumable': False,
         'regions': frozenset(),
     }
-    return models.Route(**(terms | changes))
+    return models.Route(**(fields | changes))
 
 
 def build_catalogue(routes, *, teams_by_key=None, version=1):
@@ -58,10 +58,10 @@
     def test_prefix_itself_is_found(self):
         self.assertEqual('/a/b/', self.find('/a/b/'))
 
-    def test_path_without_the_closing_slash_is_not_in_the_prefix(self):
+    def test_prefix_without_its_trailing_slash_does_not_match(self):
         self.assertIsNone(self.find('/a'))
 
-    def test_root_prefix_takes_every_path(self):
+    def test_root_prefix_matches_every_path(self):
         self.assertEqual('/', self.find('/x/y', host='root.example'))
 
     def test_other_host_has_no_route(self):
