--- a/packages/savoryyoke-entry/savoryyoke_entry/daemon.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/daemon.py
@@ -6,7 +6,7 @@
 import anyio
 import prometheus_client
 
-from savoryyoke.calls.attempts import carried
+from savoryyoke.calls.attempts import forwarded
 from savoryyoke.calls.attempts import pauses
 from savoryyoke.calls import conf as calls_conf
 from savoryyoke.configuration import routes
@@ -50,7 +50,7 @@
         self._pauses = None
         self._address = ''
         self.attempt_limits = calls_conf.AttemptLimits()
-        self.carried = carried.CarriedAnswers(limits=self.attempt_limits)
+        self.carried = forwarded.ForwardedAnswers(limits=self.attempt_limits)
         self.fleet = None
         self._directory = None
         self.team_limiter = team_limits.TeamLimiter(
@@ -148,7 +148,7 @@
         self._pauses = pauses.PauseMonitor(
             now_s=self._clock(),
             threshold_s=self.attempt_limits.pause_threshold_s,
-            doubt_s=self.attempt_limits.pause_doubt_s,
+            recovery_s=self.attempt_limits.pause_recovery_s,
         )
         self._application = application.Application(
             daemon=self,
--- a/packages/savoryyoke-entry/savoryyoke_entry/fleet.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/fleet.py
@@ -320,7 +320,7 @@
             incarnation=named.heir_incarnation,
         )
         for stamp in named.stamps:
-            self.routes.follow(
+            self.routes.apply_handover(
                 incarnation=stamp.incarnation,
                 heir=heir,
                 stamp_ms=stamp.stamp_ms,
@@ -328,7 +328,7 @@
 
     def _take_load(self, link, load):
         for stamp in load.stamps:
-            self.routes.hear(stamp)
+            self.routes.apply_stamp(stamp)
         self.suspects.take(load.crash_reports)
         row = self._rows_by_target_id.get(link.target_id)
         if row is None:
--- a/packages/savoryyoke-entry/savoryyoke_entry/keyed.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/keyed.py
@@ -152,8 +152,8 @@
             target_id=target_id,
             stamp_ms=self._arrival.stamp_ms,
             deadline_s=deadline_s,
-            is_doubtful=self._arrival.doubtful,
-            carried=self._carried,
+            may_predate_pause=self._arrival.doubtful,
+            forwarded_answers=self._carried,
             limits=limits,
         )
 
@@ -177,10 +177,10 @@
 
     async def _wait(self):
         while True:
-            wakes_s = self._attempt.wakes_s
-            if wakes_s is None or self._outcome is not None:
+            next_tick_s = self._attempt.next_tick_s
+            if next_tick_s is None or self._outcome is not None:
                 return
-            with anyio.move_on_at(wakes_s):
+            with anyio.move_on_at(next_tick_s):
                 await self._changed.wait()
             self._changed = anyio.Event()
             self._feed(attempt_events.Ticked())
@@ -281,7 +281,7 @@
             target_id=redirect.heir_target_id,
             incarnation=redirect.heir_incarnation,
         )
-        self._fleet.routes.follow(
+        self._fleet.routes.apply_handover(
             incarnation=self._attempt.key.incarnation,
             heir=heir,
             stamp_ms=redirect.stamp_ms,
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/scenarios/clock_calls.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/scenarios/clock_calls.py
@@ -42,7 +42,7 @@
 
     def __enter__(self):
         self._world.advance(0.5)
-        self._world.beat()
+        self._world.broadcast_stamps()
         return self
 
     def __exit__(self, kind, error, trace):
@@ -166,7 +166,7 @@
     def _pass_time(self, seconds):
         for _ in range(max(1, round(seconds / STEP_S))):
             self._world.advance(STEP_S)
-            self._world.beat()
+            self._world.broadcast_stamps()
             self._owed_calls += sum(self._rates_per_s) * STEP_S
             while self._owed_calls >= 1:
                 self._owed_calls -= 1
@@ -179,7 +179,7 @@
         target_id = self._pick(self._world.target_ids)
         entry_id = self._pick(self._world.entry_ids)
         suffix = f'payment-{len(self._keys) + 1}'
-        key = self._world.bind(target_id, suffix=suffix, entry_id=entry_id)
+        key = self._world.make_key(target_id, suffix=suffix, entry_id=entry_id)
         if key is None:
             return
         self._keys.append(key)
--- a/packages/savoryyoke-fakes/tests/scenarios/test_clocks.py
+++ b/packages/savoryyoke-fakes/tests/scenarios/test_clocks.py
@@ -62,7 +62,7 @@
         problem = self.assert_turns_red(
             'combined-failures-of-refusals',
             rules.Rules,
-            '_refusal',
+            '_find_refusal_reason',
             lambda *args: None,
         )
         self.assertIn('ran after it was refused', problem)
@@ -71,7 +71,7 @@
         problem = self.assert_turns_red(
             'combined-failures-of-refusals',
             rules.Rules,
-            '_refuse_by_window',
+            '_respond_by_window',
             lambda *args: (),
         )
         self.assertIn('was refused although it ran', problem)
--- a/packages/savoryyoke-target/savoryyoke_target/inheritance.py
+++ b/packages/savoryyoke-target/savoryyoke_target/inheritance.py
@@ -97,7 +97,7 @@
             snapshot = snapshots.load_snapshot(data)
         except exceptions.SnapshotInvalid as error:
             return self._refuse(session, message, str(error))
-        return (ledger_events.Inherited(snapshot=snapshot),)
+        return (ledger_events.SnapshotReceived(snapshot=snapshot),)
 
     def _refuse(self, session, message, reason):
         logs.write_event(
--- a/packages/savoryyoke/savoryyoke/calls/attempts/events.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/events.py
@@ -44,4 +44,4 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticked:
-    """Report that the time ``Attempt.wakes_s`` has been reached."""
+    """Report that the time ``Attempt.next_tick_s`` has been reached."""
--- a/packages/savoryyoke/savoryyoke/calls/attempts/carried.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/forwarded.py
@@ -7,14 +7,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class CarriedAnswer:
+class ForwardedAnswer:
     """Hold the outcome of a call that ran and its request's fingerprint."""
 
     fingerprint: bytes
     outcome: outcomes.Ran
 
 
-class CarriedAnswers:
+class ForwardedAnswers:
     """Keep the newest answers, limited in number and in bytes.
 
     The answer of a call that ran never changes, so an entry may repeat it
@@ -22,8 +22,8 @@
     """
 
     def __init__(self, *, limits):
-        self._limit = limits.carried_limit
-        self._limit_bytes = limits.carried_limit_bytes
+        self._limit = limits.forwarded_limit
+        self._limit_bytes = limits.forwarded_limit_bytes
         self._answers_by_key = collections.OrderedDict()
         self.total_bytes = 0
 
@@ -32,7 +32,7 @@
         if not isinstance(outcome, outcomes.Ran):
             return
         self._remove(key)
-        self._answers_by_key[key] = CarriedAnswer(
+        self._answers_by_key[key] = ForwardedAnswer(
             fingerprint=fingerprint, outcome=outcome
         )
         self.total_bytes += outcome.answer.size_bytes
@@ -44,14 +44,14 @@
 
         The outcome is ``Rejected`` if another request used the key.
         """
-        carried = self._answers_by_key.get(key)
-        if carried is None:
+        forwarded = self._answers_by_key.get(key)
+        if forwarded is None:
             return None
-        if carried.fingerprint != fingerprint:
+        if forwarded.fingerprint != fingerprint:
             return outcomes.Rejected(
                 reason=outcomes.RejectionReason.KEY_REUSED
             )
-        return carried.outcome
+        return forwarded.outcome
 
     def _is_over_limits(self):
         return (
@@ -60,6 +60,6 @@
         )
 
     def _remove(self, key):
-        carried = self._answers_by_key.pop(key, None)
-        if carried is not None:
-            self.total_bytes -= carried.outcome.answer.size_bytes
+        forwarded = self._answers_by_key.pop(key, None)
+        if forwarded is not None:
+            self.total_bytes -= forwarded.outcome.answer.size_bytes
--- a/packages/savoryyoke/savoryyoke/calls/attempts/machine.py
+++ b/packages/savoryyoke/savoryyoke/calls/attempts/machine.py
@@ -23,9 +23,9 @@
     """Process one attempt from the caller's request to its only answer.
 
     ``stamp_ms`` is the newest stamp of the key's incarnation that the entry
-    had received when it read the request; ``is_doubtful`` says that the
+    had received when it read the request; ``may_predate_pause`` says that the
     request may have arrived before a pause of the entry. ``deadline_s`` and
-    ``wakes_s``, the time of the next tick, are monotonic times.
+    ``next_tick_s``, the time of the next tick, are monotonic times.
     """
 
     def __init__(
@@ -37,8 +37,8 @@
         target_id,
         stamp_ms,
         deadline_s,
-        is_doubtful,
-        carried,
+        may_predate_pause,
+        forwarded_answers,
         limits,
     ):
         self.attempt_id = attempt_id
@@ -46,10 +46,10 @@
         self.fingerprint = fingerprint
         self._target_id = target_id
         self._stamp_ms = _find_stamp_before_arrival_ms(
-            stamp_ms, is_doubtful, limits
+            stamp_ms, may_predate_pause, limits
         )
         self._deadline_s = deadline_s
-        self._carried = carried
+        self._forwarded_answers = forwarded_answers
         self._limits = limits
         self._phase = _Phase.OFFERING
         self._sent_s_by_number = {}
@@ -57,7 +57,7 @@
         self._redirect_count = 0
 
     @property
-    def wakes_s(self):
+    def next_tick_s(self):
         """Return the time of the next tick, or None after the end."""
         if self._phase is _Phase.ENDED:
             return None
@@ -88,7 +88,7 @@
             return self._deliver_may_have_run(outcome.reason)
         if isinstance(outcome, outcomes.RanWithoutAnswer):
             return self._deliver(self._find_forwarded_answer() or outcome)
-        self._carried.add(
+        self._forwarded_answers.add(
             key=self.key, fingerprint=self.fingerprint, outcome=outcome
         )
         return self._deliver(outcome)
@@ -119,7 +119,7 @@
 
     @apply.register
     def _(self, event: events.Ticked, *, now_s):
-        if self._phase is _Phase.ENDED or now_s < self.wakes_s:
+        if self._phase is _Phase.ENDED or now_s < self.next_tick_s:
             return ()
         was_sealing = self._phase is _Phase.SEALING
         self._phase = _Phase.SEALING
@@ -176,7 +176,9 @@
         return self._send(now_s)
 
     def _find_forwarded_answer(self):
-        return self._carried.find(key=self.key, fingerprint=self.fingerprint)
+        return self._forwarded_answers.find(
+            key=self.key, fingerprint=self.fingerprint
+        )
 
     def _deliver_may_have_run(self, reason):
         may_have_run = outcomes.MayHaveRun(reason=reason)
@@ -187,14 +189,14 @@
         return (decisions.Deliver(outcome=outcome),)
 
 
-def _find_stamp_before_arrival_ms(stamp_ms, is_doubtful, limits):
+def _find_stamp_before_arrival_ms(stamp_ms, may_predate_pause, limits):
     """Return a stamp, in ms, that is older than the request's arrival.
 
     After a pause all stamps received may be newer than the arrival. The
     result is then 0, and the ledger uses the start of the key's window. A
     pause too short to be detected is covered by subtracting the threshold.
     """
-    if is_doubtful:
+    if may_predate_pause:
         return 0
     threshold_ms = limits.pause_threshold_s * conf.MILLISECONDS_PER_SECOND
     return max(0, stamp_ms - int(threshold_ms))
--- a/packages/savoryyoke/savoryyoke/calls/conf.py
+++ b/packages/savoryyoke/savoryyoke/calls/conf.py
@@ -41,8 +41,8 @@
     A seal is requested ``seal_margin_s`` before the deadline. The clocks of
     two processes drift apart by at most ``clock_drift`` (a ratio). A pause
     of the entry longer than ``pause_threshold_s`` is detected; requests read
-    in the ``pause_doubt_s`` after it may have arrived before the pause.
-    ``carried_limit`` and ``carried_limit_bytes`` bound the answers that an
+    in the ``pause_recovery_s`` after it may have arrived before the pause.
+    ``forwarded_limit`` and ``forwarded_limit_bytes`` bound the answers that an
     entry keeps.
     """
 
@@ -50,7 +50,7 @@
     redirect_limit: int = 8
     clock_drift: float = 0.001
     pause_threshold_s: float = 0.25
-    pause_doubt_s: float = 2.0
-    carried_limit: int = 4_096
-    carried_limit_bytes: int = 8 * 1024 * 1024
+    pause_recovery_s: float = 2.0
+    forwarded_limit: int = 4_096
+    forwarded_limit_bytes: int = 8 * 1024 * 1024
     routes_limit: int = 8_192
--- a/packages/savoryyoke/savoryyoke/calls/ledger/authority.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/authority.py
@@ -206,7 +206,7 @@
         return self._handover.make_transfers()
 
     @apply.register
-    def _(self, event: events.Inherited, *, now_s):
+    def _(self, event: events.SnapshotReceived, *, now_s):
         snapshot = event.snapshot
         reply_type = decisions.RefuseImport
         if self._is_intended_heir(snapshot):
--- a/packages/savoryyoke/savoryyoke/calls/ledger/events.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/events.py
@@ -105,7 +105,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Inherited:
+class SnapshotReceived:
     """Report a snapshot sent by a process that is leaving."""
 
     snapshot: snapshots.Snapshot
--- a/packages/savoryyoke/savoryyoke/calls/routes.py
+++ b/packages/savoryyoke/savoryyoke/calls/routes.py
@@ -31,7 +31,7 @@
         self._limit = limits.routes_limit
         self._routes_by_incarnation = collections.OrderedDict()
 
-    def hear(self, stamp):
+    def apply_stamp(self, stamp):
         """Update the route from a ``Stamp`` unless it is outdated."""
         current_route = self._routes_by_incarnation.get(stamp.incarnation)
         if (
@@ -48,7 +48,7 @@
             ),
         )
 
-    def follow(self, *, incarnation, heir, stamp_ms):
+    def apply_handover(self, *, incarnation, heir, stamp_ms):
         """Route the keys of ``incarnation`` to its ``heir``.
 
         ``stamp_ms`` is the last stamp of the process that handed over; the
--- a/packages/savoryyoke/savoryyoke/calls/testing/schedules.py
+++ b/packages/savoryyoke/savoryyoke/calls/testing/schedules.py
@@ -70,7 +70,7 @@
         for slot in tuple(world.inboxes_by_frozen_slot):
             world.thaw(slot)
         for _ in range(6):
-            world.flow()
+            world.deliver_all()
             for target_id in filter(world.is_awake, world.target_ids):
                 while world.processes_by_slot[target_id].queue:
                     world.hand_over(target_id)
@@ -94,7 +94,7 @@
 
     def _call(self, first_choice, second_choice):
         entry_id = self.world.entry_ids[first_choice % 2]
-        key = self.world.bind(
+        key = self.world.make_key(
             self.world.target_ids[second_choice % 2],
             suffix=f'k{len(self._keys)}',
             entry_id=entry_id,
@@ -120,7 +120,7 @@
             self.world.disconnect_caller(entry_id)
 
     def _flow(self, first_choice, second_choice):
-        self.world.flow()
+        self.world.deliver_all()
 
     def _deliver(self, first_choice, second_choice):
         if self.world.messages:
@@ -164,7 +164,7 @@
         self.world.advance(_STEPS_S[first_choice % len(_STEPS_S)])
 
     def _beat(self, first_choice, second_choice):
-        self.world.beat()
+        self.world.broadcast_stamps()
 
     def _tick(self, first_choice, second_choice):
         target_id = self._pick_target(first_choice)
--- a/packages/savoryyoke/savoryyoke/calls/testing/world.py
+++ b/packages/savoryyoke/savoryyoke/calls/testing/world.py
@@ -3,9 +3,9 @@
 import dataclasses
 import itertools
 
-from savoryyoke.calls.attempts import carried
 from savoryyoke.calls.attempts import decisions as attempt_decisions
 from savoryyoke.calls.attempts import events as attempt_events
+from savoryyoke.calls.attempts import forwarded
 from savoryyoke.calls.attempts import machine
 from savoryyoke.calls.attempts import pauses
 from savoryyoke.calls import conf
@@ -28,7 +28,7 @@
     record_limit=8,
     attempts_per_key_limit=2,
 )
-ATTEMPT_LIMITS = conf.AttemptLimits(pause_doubt_s=1.0)
+ATTEMPT_LIMITS = conf.AttemptLimits(pause_recovery_s=1.0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -78,11 +78,11 @@
     def __init__(self, *, incarnation, now_s, limits):
         self.incarnation = incarnation
         self.routes = routes.Routes(limits=limits)
-        self.carried = carried.CarriedAnswers(limits=limits)
+        self.forwarded_answers = forwarded.ForwardedAnswers(limits=limits)
         self.monitor = pauses.PauseMonitor(
             now_s=now_s,
             threshold_s=limits.pause_threshold_s,
-            doubt_s=limits.pause_doubt_s,
+            recovery_s=limits.pause_recovery_s,
         )
         self.attempts_by_id = {}
 
@@ -109,7 +109,7 @@
         self.entry_ids = tuple(f'e{i}' for i in range(entries))
         for slot in (*self.target_ids, *self.entry_ids):
             self.start(slot)
-        self.beat()
+        self.broadcast_stamps()
 
     def start(self, slot):
         """Start a new process in ``slot``, in place of any other."""
@@ -159,7 +159,7 @@
         )
         return attempt_id
 
-    def bind(self, target_id, *, suffix, entry_id='e0'):
+    def make_key(self, target_id, *, suffix, entry_id='e0'):
         """Return a key bound to the process of ``target_id``, or None."""
         target = self.processes_by_slot.get(target_id)
         entry = self.processes_by_slot.get(entry_id)
@@ -172,7 +172,7 @@
         )
         return None if binding is None else binding.bind(suffix=suffix)
 
-    def beat(self):
+    def broadcast_stamps(self):
         """Deliver the stamps of each target that is awake to all entries.
 
         Stamps overtake all messages in transit.
@@ -208,7 +208,7 @@
                         entry_id, attempt, attempt_events.Ticked()
                     )
 
-    def flow(self):
+    def deliver_all(self):
         """Deliver all messages, including those sent in response."""
         for _ in range(200):
             if not self.messages:
@@ -370,10 +370,10 @@
     def _receive_at_entry(self, entry_id, entry, payload):
         may_predate_pause = entry.monitor.observe(now_s=self.now_s)
         if isinstance(payload, responses.Stamp):
-            entry.routes.hear(payload)
+            entry.routes.apply_stamp(payload)
         elif isinstance(payload, decisions.NameHeir):
             for incarnation, stamp_ms in payload.stamps_by_incarnation.items():
-                entry.routes.follow(
+                entry.routes.apply_handover(
                     incarnation=incarnation,
                     heir=payload.heir,
                     stamp_ms=stamp_ms,
@@ -394,8 +394,8 @@
             target_id=entry.routes.find_target(request.key),
             stamp_ms=entry.routes.find_stamp_ms(request.key),
             deadline_s=self.now_s + request.timeout_s,
-            is_doubtful=may_predate_pause,
-            carried=entry.carried,
+            may_predate_pause=may_predate_pause,
+            forwarded_answers=entry.forwarded_answers,
             limits=ATTEMPT_LIMITS,
         )
         entry.attempts_by_id[request.attempt_id] = attempt
@@ -413,7 +413,7 @@
                 outcome=decision.outcome,
                 now_s=self.now_s,
             )
-        if attempt.wakes_s is None:
+        if attempt.next_tick_s is None:
             entry = self.processes_by_slot[entry_id]
             entry.attempts_by_id.pop(attempt.attempt_id, None)
 
@@ -443,7 +443,7 @@
             self._send(
                 target_id,
                 decision.heir.target_id,
-                events.Inherited(snapshot=decision.snapshot),
+                events.SnapshotReceived(snapshot=decision.snapshot),
             )
         elif isinstance(decision, decisions.NameHeir):
             self._name_heir(target_id, decision)
--- a/packages/savoryyoke/tests/calls/test_attempts.py
+++ b/packages/savoryyoke/tests/calls/test_attempts.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from savoryyoke.calls.attempts import carried
 from savoryyoke.calls.attempts import decisions
 from savoryyoke.calls.attempts import events
+from savoryyoke.calls.attempts import forwarded
 from savoryyoke.calls.attempts import machine
 from savoryyoke.calls import conf
 from savoryyoke.calls import keys
@@ -14,7 +14,7 @@
 from savoryyoke.calls import outcomes
 from savoryyoke.calls import routes
 
-LIMITS = conf.AttemptLimits(carried_limit=1)
+LIMITS = conf.AttemptLimits(forwarded_limit=1)
 KEY = keys.BoundKey(target_id='t1', incarnation=1, window=0, suffix='k')
 HEIR = snapshots.Heir(target_id='t2', incarnation=2)
 RAN = outcomes.Ran(answer=outcomes.Answer(status=200, body=b'paid'))
@@ -31,10 +31,10 @@
 
     def setUp(self):
         super().setUp()
-        self.carried = carried.CarriedAnswers(limits=LIMITS)
+        self.forwarded_answers = forwarded.ForwardedAnswers(limits=LIMITS)
         self.attempt = self.start()
 
-    def start(self, *, is_doubtful=False):
+    def start(self, *, may_predate_pause=False):
         attempt = machine.Attempt(
             attempt_id='a1',
             key=KEY,
@@ -42,8 +42,8 @@
             target_id='t1',
             stamp_ms=1_000,
             deadline_s=5.0,
-            is_doubtful=is_doubtful,
-            carried=self.carried,
+            may_predate_pause=may_predate_pause,
+            forwarded_answers=self.forwarded_answers,
             limits=LIMITS,
         )
         self.sent = attempt.apply(events.Started(), now_s=0.0)
@@ -56,7 +56,7 @@
     def assert_delivers(self, kind, decided):
         self.assertIsInstance(decided[-1], decisions.Deliver)
         self.assertIsInstance(decided[-1].outcome, kind)
-        self.assertIsNone(self.attempt.wakes_s)
+        self.assertIsNone(self.attempt.next_tick_s)
 
     def test_offer_has_a_stamp_from_before_an_undetected_pause(self):
         (send,) = self.sent
@@ -76,7 +76,7 @@
 
     def test_seal_is_requested_before_the_deadline(self):
         (send,) = self.attempt.apply(
-            events.Ticked(), now_s=self.attempt.wakes_s
+            events.Ticked(), now_s=self.attempt.next_tick_s
         )
         self.assertIsInstance(send.message, ledger_events.SealRequested)
         decided = self.attempt.apply(events.Ticked(), now_s=5.0)
@@ -84,14 +84,14 @@
         self.assertEqual((), self.receive(RAN, now_s=5.1))
 
     def test_attempt_after_a_pause_sends_stamp_zero(self):
-        self.start(is_doubtful=True)
+        self.start(may_predate_pause=True)
         (send,) = self.sent
         self.assertEqual(0, send.message.stamp_ms)
 
     def test_disconnected_caller_causes_only_a_seal(self):
         (send,) = self.attempt.apply(events.CallerLeft(), now_s=1.0)
         self.assertIsInstance(send.message, ledger_events.SealRequested)
-        self.assertIsNone(self.attempt.wakes_s)
+        self.assertIsNone(self.attempt.next_tick_s)
 
     def test_unreachable_target(self):
         unreachable = events.TargetUnreachable(number=0, heir=HEIR)
@@ -108,12 +108,14 @@
             )
         self.assert_delivers(outcomes.MayHaveRun, decided)
 
-    def test_carried_answers_are_bounded(self):
+    def test_forwarded_answers_are_bounded(self):
         self.assert_delivers(outcomes.Ran, self.receive(RAN, now_s=1.0))
-        self.assertEqual(4, self.carried.total_bytes)
-        self.carried.add(key='other', fingerprint=b'f', outcome=RAN)
-        self.assertIsNone(self.carried.find(key=KEY, fingerprint=b'f'))
-        self.assertEqual(4, self.carried.total_bytes)
+        self.assertEqual(4, self.forwarded_answers.total_bytes)
+        self.forwarded_answers.add(key='other', fingerprint=b'f', outcome=RAN)
+        self.assertIsNone(
+            self.forwarded_answers.find(key=KEY, fingerprint=b'f')
+        )
+        self.assertEqual(4, self.forwarded_answers.total_bytes)
 
 
 class RoutesTest(unittest.TestCase):
@@ -124,7 +126,7 @@
         self.assertEqual('t1', known_routes.find_target(KEY))
 
         def apply_stamp(target_id, stamp_ms):
-            known_routes.hear(
+            known_routes.apply_stamp(
                 responses.Stamp(
                     target_id=target_id,
                     incarnation=1,
@@ -138,11 +140,11 @@
             service='s', target_id='t1', incarnation=1
         )
         self.assertEqual(2, binding.window)
-        known_routes.follow(incarnation=1, heir=HEIR, stamp_ms=300)
+        known_routes.apply_handover(incarnation=1, heir=HEIR, stamp_ms=300)
         apply_stamp('t1', 300)
         self.assertEqual('t2', known_routes.find_target(KEY))
         apply_stamp('t2', 301)
-        known_routes.follow(incarnation=1, heir=HEIR, stamp_ms=300)
+        known_routes.apply_handover(incarnation=1, heir=HEIR, stamp_ms=300)
         self.assertEqual(301, known_routes.find_stamp_ms(KEY))
         self.assertIsNone(
             known_routes.make_binding(
--- a/packages/savoryyoke/tests/calls/test_ledger.py
+++ b/packages/savoryyoke/tests/calls/test_ledger.py
@@ -246,7 +246,7 @@
     def hand_over(self):
         snapshot = self.export()
         decided = self.apply(
-            events.Inherited(snapshot=snapshot), ledger=self.heir
+            events.SnapshotReceived(snapshot=snapshot), ledger=self.heir
         )
         self.assertIsInstance(decided[0], decisions.AcknowledgeImport)
         return self.apply(
@@ -330,7 +330,7 @@
         snapshot = self.export()
         restarted = self.make_ledger(LIMITS, target_id='t2', incarnation=3)
         decided = self.apply(
-            events.Inherited(snapshot=snapshot), ledger=restarted
+            events.SnapshotReceived(snapshot=snapshot), ledger=restarted
         )
         self.assertIsInstance(decided[0], decisions.RefuseImport)
 
@@ -340,7 +340,7 @@
         self.hand_over()
         self.apply(make_offer(self.key), ledger=self.heir)
         decided = self.apply(
-            events.Inherited(snapshot=stale), ledger=self.heir
+            events.SnapshotReceived(snapshot=stale), ledger=self.heir
         )
         self.assertIsInstance(decided[0], decisions.RefuseImport)
         self.assertEqual(1, self.heir.in_progress_count)
@@ -352,7 +352,7 @@
         to_third = snapshots.Heir(target_id='t3', incarnation=3)
         drain = events.DrainStarted(heir=to_third)
         (export,) = self.apply(drain, ledger=self.heir)
-        inherited = events.Inherited(snapshot=export.snapshot)
+        inherited = events.SnapshotReceived(snapshot=export.snapshot)
         self.apply(inherited, ledger=third)
         acknowledged = events.ImportAcknowledged(export_number=1)
         self.apply(acknowledged, ledger=self.heir)
--- a/tools/measure/keyed_calls.py
+++ b/tools/measure/keyed_calls.py
@@ -80,7 +80,7 @@
         world.advance(STEP_S)
         self._steps += 1
         if self._steps % 5 == 0:
-            world.beat()
+            world.broadcast_stamps()
             for target_id in filter(world.is_awake, world.target_ids):
                 world.apply(target_id, events.Ticked())
         if arrivals:
@@ -88,7 +88,7 @@
             self._arrive()
         for target_id in filter(world.is_awake, world.target_ids):
             self._serve(target_id)
-        world.flow()
+        world.deliver_all()
         self._read_outcomes()
 
     def _collect_bindings(self):
--- a/tools/measure/ledger_costs.py
+++ b/tools/measure/ledger_costs.py
@@ -64,7 +64,7 @@
         started_s = time.perf_counter()
         (export,) = ledger.apply(events.DrainStarted(heir=heir), now_s=1.0)
         exported_s = time.perf_counter()
-        inherited = events.Inherited(snapshot=export.snapshot)
+        inherited = events.SnapshotReceived(snapshot=export.snapshot)
         inheriting.apply(inherited, now_s=1.0)
         imported_s = time.perf_counter()
         reports.print_line(
