--- a/packages/savoryyoke/savoryyoke/calls/keys.py
+++ b/packages/savoryyoke/savoryyoke/calls/keys.py
@@ -16,13 +16,13 @@
 
 _VERSION = 'sy1'
 _SEPARATOR = '~'
-_VISIBLE = re.compile(r'[\x21-\x7d]+')
-_INCARNATION = re.compile(r'[0-9a-f]{16}')
-_WINDOW = re.compile(r'0|[1-9][0-9]{0,14}')
+_VISIBLE_PATTERN = re.compile(r'[\x21-\x7d]+')
+_INCARNATION_PATTERN = re.compile(r'[0-9a-f]{16}')
+_WINDOW_PATTERN = re.compile(r'0|[1-9][0-9]{0,14}')
 
 
-def _check_word(word, *, name):
-    if not _VISIBLE.fullmatch(word):
+def _check_characters(text, *, name):
+    if not _VISIBLE_PATTERN.fullmatch(text):
         raise exceptions.InvalidKey(
             reason=f'{name} must be visible ASCII without {_SEPARATOR}'
         )
@@ -77,8 +77,8 @@
 
     def __post_init__(self):
         """Check the limits of each part."""
-        _check_word(self.target_id, name='target')
-        _check_word(self.suffix, name='suffix')
+        _check_characters(self.target_id, name='target')
+        _check_characters(self.suffix, name='suffix')
         if not 0 <= self.incarnation < INCARNATION_LIMIT:
             raise exceptions.InvalidKey(reason='incarnation out of range')
         if not 0 <= self.window < WINDOW_LIMIT:
@@ -111,9 +111,9 @@
     if len(parts) != 5 or parts[0] != _VERSION:
         raise exceptions.InvalidKey(reason='key carries no binding')
     _, target_id, incarnation, window, suffix = parts
-    if not _INCARNATION.fullmatch(incarnation):
+    if not _INCARNATION_PATTERN.fullmatch(incarnation):
         raise exceptions.InvalidKey(reason='incarnation is not 16 hex digits')
-    if not _WINDOW.fullmatch(window):
+    if not _WINDOW_PATTERN.fullmatch(window):
         raise exceptions.InvalidKey(reason='window is not a plain number')
     return BoundKey(
         target_id=target_id,
--- a/packages/savoryyoke/savoryyoke/calls/ledger/handover.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/handover.py
@@ -22,10 +22,10 @@
 class Handover:
     """Hold the state of the handover at a planned stop.
 
-    The heir makes no decisions until this process confirms it. An export
-    whose acknowledgement is lost can therefore be cancelled and repeated
-    with another heir. Messages that arrive during an export are parked:
-    they wait for its end, at most ``parked_limit`` of them.
+    The heir sends no stamps and gets no attempts until this process names it
+    to the entries. An export whose acknowledgement is lost can therefore be
+    cancelled and repeated with another heir. Messages that arrive during an
+    export are parked: they wait for its end, at most ``parked_limit`` of them.
     """
 
     def __init__(self, *, source_incarnation, parked_limit):
@@ -128,7 +128,7 @@
         )
 
     def make_transfers(self):
-        """Return the transfers of all exported calls that have ended since."""
+        """Return the transfers of the exported calls that have ended."""
         transfers = []
         for record in self._exported_in_progress:
             transfers.extend(self.make_transfer(record, answer=record.answer))
--- a/packages/savoryyoke/savoryyoke/calls/ledger/rules.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/rules.py
@@ -129,7 +129,7 @@
         return self._end(record, responses.make_outcome(record))
 
     def end_transferred(self, record, copy, *, now_s):
-        """End a call that was in progress elsewhere, as in ``copy``."""
+        """End a call that was in progress elsewhere, with its result."""
         if copy.phase is _Phase.SEALED:
             return self.end_not_run(record, _NotRunReason.SEALED, now_s=now_s)
         if copy.phase is not _Phase.RAN:
--- a/packages/savoryyoke/savoryyoke/calls/ledger/snapshots.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/snapshots.py
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Snapshot:
-    """Hold all tables of the process ``source_incarnation``.
+    """Hold all tables of the process ``source_incarnation``, as ``books``.
 
     Only the process ``heir`` may import it, not a process restarted in its
     place, which has no record of the calls that ``heir`` ran.
--- a/packages/savoryyoke/savoryyoke/calls/ledger/tables.py
+++ b/packages/savoryyoke/savoryyoke/calls/ledger/tables.py
@@ -19,8 +19,8 @@
 
     ``export_id`` identifies the export that a table came from, as incarnation
     of the sender and export number; it is None for the process's own table.
-    An imported table is ``confirmed`` once the authority has moved here. Only
-    a table that ``was_confirmed_at_source`` can be confirmed.
+    An imported table is ``confirmed`` once the authority has moved here. The
+    event ``HeirConfirmed`` confirms it only if it ``was_confirmed_at_source``.
     """
 
     def __init__(
--- a/packages/savoryyoke/savoryyoke/calls/outcomes.py
+++ b/packages/savoryyoke/savoryyoke/calls/outcomes.py
@@ -8,10 +8,10 @@
 class NotRunReason(enum.Enum):
     """Say why a call did not run and why it can no longer run.
 
-    Only the ledger with the authority over the key returns these reasons;
-    the exception is ``UNBOUND_KEY``. With each reason except ``UNBOUND_KEY``
-    and ``WINDOW_CLOSED`` the ledger sets a seal that voids every attempt
-    that arrived before the answer.
+    Only the ledger with the authority over the key returns these reasons,
+    except ``UNBOUND_KEY``, which an entry returns. With each reason except
+    ``UNBOUND_KEY`` and ``WINDOW_CLOSED`` the ledger sets a seal that voids
+    every attempt that arrived before the answer.
     """
 
     # The entry does not forward a key that has no target.
@@ -65,7 +65,9 @@
     @property
     def size_bytes(self):
         """Return the size that counts against the limits, in bytes."""
-        headers_bytes = sum(len(n) + len(v) for n, v in self.headers)
+        headers_bytes = sum(
+            len(name) + len(value) for name, value in self.headers
+        )
         return len(self.body) + headers_bytes
 
 
--- a/packages/savoryyoke/savoryyoke/calls/routes.py
+++ b/packages/savoryyoke/savoryyoke/calls/routes.py
@@ -10,8 +10,8 @@
 class Route:
     """Identify the process that decides on the keys of an incarnation.
 
-    ``stamp_ms`` is the newest stamp received and ``window_ms`` the length
-    of the windows; 0 if no stamp has been received.
+    ``stamp_ms`` is the newest stamp and ``window_ms`` the length of the
+    windows, or 0 if only a handover to an heir has been reported.
     """
 
     target_id: str
--- a/packages/savoryyoke/savoryyoke/calls/testing/world.py
+++ b/packages/savoryyoke/savoryyoke/calls/testing/world.py
@@ -209,7 +209,7 @@
                     )
 
     def deliver_all(self):
-        """Deliver all messages, including those sent in response."""
+        """Deliver messages and those sent in response, at most 200 in all."""
         for _ in range(200):
             if not self.messages:
                 return
