--- a/packages/savoryyoke/savoryyoke/calls/keys.py
+++ b/packages/savoryyoke/savoryyoke/calls/keys.py
@@ -1,7 +1,7 @@
 """Bind the key of a non-idempotent call to one incarnation of one target.
 
 The text form is ``sy1~target~incarnation~window~suffix``. The caller gets
-the first four parts as a binding and adds a suffix of its own.
+the first four parts as a binding and appends ``~`` and a unique suffix.
 """
 
 import dataclasses
@@ -16,13 +16,13 @@
 
 _VERSION = 'sy1'
 _SEPARATOR = '~'
-_VISIBLE = re.compile(r'[\x21-\x7d]+')
-_INCARNATION = re.compile(r'[0-9a-f]{16}')
-_WINDOW = re.compile(r'0|[1-9][0-9]{0,14}')
+_VISIBLE_PATTERN = re.compile(r'[\x21-\x7d]+')
+_INCARNATION_PATTERN = re.compile(r'[0-9a-f]{16}')
+_WINDOW_PATTERN = re.compile(r'0|[1-9][0-9]{0,14}')
 
 
-def _check_word(word, *, name):
-    if not _VISIBLE.fullmatch(word):
+def _check_characters(text, *, name):
+    if not _VISIBLE_PATTERN.fullmatch(text):
         raise exceptions.InvalidKey(
             reason=f'{name} must be visible ASCII without {_SEPARATOR}'
         )
@@ -30,10 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Binding:
-    """Name the process that may run the keys made from this binding.
+    """Identify the process that may run the keys made from this binding.
 
-    ``incarnation`` is the random 64-bit number of the process and
-    ``window`` counts windows of that process's own monotonic time.
+    ``incarnation`` is the random 64-bit number of the process. ``window``
+    is the number of the window in which the binding was issued, counted on
+    the monotonic clock of that process.
     """
 
     service: str
@@ -76,8 +77,8 @@
 
     def __post_init__(self):
         """Check the limits of each part."""
-        _check_word(self.target_id, name='target')
-        _check_word(self.suffix, name='suffix')
+        _check_characters(self.target_id, name='target')
+        _check_characters(self.suffix, name='suffix')
         if not 0 <= self.incarnation < INCARNATION_LIMIT:
             raise exceptions.InvalidKey(reason='incarnation out of range')
         if not 0 <= self.window < WINDOW_LIMIT:
@@ -101,18 +102,18 @@
 
 
 def parse(text):
-    """Return the ``BoundKey`` of ``text``.
+    """Return the ``BoundKey`` whose text form is ``text``.
 
-    Each key has one text only. Raises ``InvalidKey`` for any other text, an
-    unbound key among them.
+    Each key has exactly one text form. Raises ``InvalidKey`` for any other
+    text, also for a key without a binding.
     """
     parts = text.split(_SEPARATOR)
     if len(parts) != 5 or parts[0] != _VERSION:
         raise exceptions.InvalidKey(reason='key carries no binding')
     _, target_id, incarnation, window, suffix = parts
-    if not _INCARNATION.fullmatch(incarnation):
+    if not _INCARNATION_PATTERN.fullmatch(incarnation):
         raise exceptions.InvalidKey(reason='incarnation is not 16 hex digits')
-    if not _WINDOW.fullmatch(window):
+    if not _WINDOW_PATTERN.fullmatch(window):
         raise exceptions.InvalidKey(reason='window is not a plain number')
     return BoundKey(
         target_id=target_id,
