--- a/packages/savoryyoke/savoryyoke/propagation/__init__.py
+++ b/packages/savoryyoke/savoryyoke/propagation/__init__.py
@@ -1,1 +1,1 @@
-"""Bring accepted configuration into force in every process."""
+"""Distribute configuration and put it into force in every process."""
--- a/packages/savoryyoke/savoryyoke/propagation/aggregate.py
+++ b/packages/savoryyoke/savoryyoke/propagation/aggregate.py
@@ -1,4 +1,4 @@
-"""Spread revisions of the configuration and put them into force."""
+"""Distribute revisions of the configuration and put them into force."""
 
 import functools
 
@@ -16,12 +16,13 @@
 
 
 class Propagation:
-    """Hold one process's documents and decide what it has in force.
+    """Hold the documents of one process and decide which are in force.
 
-    Every process holds the base and the overlays of all ``sites``; what is
-    in force is judged for its own ``site``. ``judge`` takes the texts of a
-    base and an overlay and returns ``judgements.Accepted`` or
-    ``judgements.Refused``, the same in every process.
+    Every process holds the base and the overlays of all ``sites``, and puts
+    the base and the overlay of its own ``site`` into force. ``judge`` is a
+    function of the texts of a base and an overlay that returns
+    ``judgements.Accepted`` or ``judgements.Refused``; it must return the same
+    in every process.
     """
 
     def __init__(
@@ -39,8 +40,8 @@
         self._site = site
         self._settings = settings
         own_names = (documents.BASE, documents.overlay_name(site))
-        others = (documents.overlay_name(other) for other in sites)
-        names = tuple(dict.fromkeys((*own_names, *others)))
+        all_names = (documents.overlay_name(name) for name in sites)
+        names = tuple(dict.fromkeys((*own_names, *all_names)))
         self._own_names = own_names
         self._store = documents.DocumentStore(names=names)
         self._force = force.ForceKeeper(site=site, judge=judge)
@@ -52,11 +53,11 @@
             vm_id=vm_id, data_centre=data_centre, settings=settings
         )
         self._peers = ()
-        self._serves = set()
-        self._conflicts = {}
-        self._offer = None
-        self._ask_again_s = 0.0
-        self._asks = 0
+        self._open_transfers = set()
+        self._reported_conflicts = {}
+        self._offered_versions = None
+        self._next_repeat_s = 0.0
+        self._repeat_count = 0
 
     @property
     def is_ready(self):
@@ -66,96 +67,97 @@
     @property
     def in_force(self):
         """Return the revisions in force, or (-1, -1)."""
-        return self._force.key
+        return self._force.revisions
 
     @property
     def seen(self):
-        """Return the newest versions held, whether or not in force."""
+        """Return the newest versions stored, in force or not."""
         return self._store.versions()
 
     @functools.singledispatchmethod
     def apply(self, event, *, now_s):
-        """Take in an event at a monotonic time; return the decisions.
+        """Process an event and return a tuple of decisions.
 
-        Raise UnknownEvent for other events.
+        ``now_s`` is a monotonic time in seconds. Raise ``UnknownEvent`` for
+        an unsupported event type.
         """
         raise exceptions.UnknownEvent(event=event)
 
     @apply.register
     def _(self, event: events.Ticked, *, now_s):
         self._startup.begin(now_s=now_s)
-        made = self._ask_peers()
-        made.extend(self._settle(now_s))
-        made.extend(self._ask_again(now_s))
-        made.extend(self._planner.take_fetches(now_s=now_s))
-        made.extend(self._read_platform(now_s))
-        return tuple(made)
+        emitted = self._request_states()
+        emitted.extend(self._apply_newest(now_s))
+        emitted.extend(self._repeat_requests(now_s))
+        emitted.extend(self._planner.take_fetches(now_s=now_s))
+        emitted.extend(self._read_platform(now_s))
+        return tuple(emitted)
 
     @apply.register
     def _(self, event: events.PeersChanged, *, now_s):
         self._peers = event.peers
-        self._reader.choose(event.peers)
-        return tuple(self._ask_peers())
+        self._reader.elect(event.peers)
+        return tuple(self._request_states())
 
     @apply.register
     def _(self, event: events.SummaryReceived, *, now_s):
-        made = self._note_versions(event.versions, event.vm_id, now_s)
-        made.extend(self._planner.take_fetches(now_s=now_s))
-        return tuple(made)
+        emitted = self._compare_versions(event.versions, event.vm_id, now_s)
+        emitted.extend(self._planner.take_fetches(now_s=now_s))
+        return tuple(emitted)
 
     @apply.register
     def _(self, event: events.StateReceived, *, now_s):
-        made = self._note_versions(event.held, event.vm_id, now_s)
-        key = self._read_in_force(event.in_force)
-        self._startup.note_answer(event.vm_id, key)
-        if key is not None:
-            made.extend(self._consider(event, key, now_s))
-        made.extend(self._settle(now_s))
-        made.extend(self._planner.take_fetches(now_s=now_s))
-        return tuple(made)
+        emitted = self._compare_versions(event.held, event.vm_id, now_s)
+        revisions = self._read_revisions(event.in_force)
+        self._startup.record_answer(event.vm_id, revisions)
+        if revisions is not None:
+            emitted.extend(self._compare_in_force(event, revisions, now_s))
+        emitted.extend(self._apply_newest(now_s))
+        emitted.extend(self._planner.take_fetches(now_s=now_s))
+        return tuple(emitted)
 
     @apply.register
     def _(self, event: events.StateRequestFailed, *, now_s):
-        self._startup.note_failure(event.vm_id)
-        return tuple(self._ask_peers())
+        self._startup.record_failure(event.vm_id)
+        return tuple(self._request_states())
 
     @apply.register
     def _(self, event: events.StateRequested, *, now_s):
         pair = self._force.pair
-        is_known = pair is not None and event.site == self._site
+        has_state = pair is not None and event.site == self._site
         return (
             decisions.AnswerState(
                 request_id=event.request_id,
                 held=self._store.versions(),
-                in_force=pair.versions() if is_known else (),
+                in_force=pair.versions() if has_state else (),
             ),
         )
 
     @apply.register
     def _(self, event: events.PlatformRead, *, now_s):
-        document, made = self._read_document(event)
+        document, emitted = self._read_document(event)
         newest = self._store.newest_revision(event.name)
-        is_news = document is not None and document.revision > newest
-        self._reader.end(event.name, is_good=is_news, now_s=now_s)
+        is_newer = document is not None and document.revision > newest
+        self._reader.end_call(event.name, is_success=is_newer, now_s=now_s)
         if document is None:
-            return made
+            return emitted
         if document.revision < newest:
             return (
                 _report(ReportKind.STALE_PLATFORM, event, f'newest={newest}'),
             )
         return (
-            *self._find_conflict(document.version()),
-            *self._keep(document, now_s),
+            *self._check_conflict(document.version()),
+            *self._store_document(document, now_s),
         )
 
     @apply.register
     def _(self, event: events.PlatformUnchanged, *, now_s):
-        self._reader.end(event.name, is_good=True, now_s=now_s)
+        self._reader.end_call(event.name, is_success=True, now_s=now_s)
         return ()
 
     @apply.register
     def _(self, event: events.PlatformFailed, *, now_s):
-        self._reader.end(event.name, is_good=False, now_s=now_s)
+        self._reader.end_call(event.name, is_success=False, now_s=now_s)
         return ()
 
     @apply.register
@@ -164,14 +166,14 @@
         if expected is None:
             self._planner.succeed(event.name, event.revision)
             return ()
-        document, made = self._read_document(event)
+        document, emitted = self._read_document(event)
         if document is None or document.digest != expected:
             self._fail_fetch(event, now_s)
-            return made or (
+            return emitted or (
                 _report(ReportKind.DIGEST_MISMATCH, event, event.vm_id),
             )
         self._planner.succeed(event.name, event.revision)
-        return tuple(self._keep(document, now_s))
+        return tuple(self._store_document(document, now_s))
 
     @apply.register
     def _(self, event: events.FetchFailed, *, now_s):
@@ -181,10 +183,12 @@
     @apply.register
     def _(self, event: events.DocumentRequested, *, now_s):
         document = self._store.find(event.name, event.revision)
-        is_busy = len(self._serves) >= self._settings.serves_limit
+        is_busy = (
+            len(self._open_transfers) >= self._settings.open_transfer_limit
+        )
         if document is None or is_busy:
             return (decisions.RefuseDocument(request_id=event.request_id),)
-        self._serves.add(event.request_id)
+        self._open_transfers.add(event.request_id)
         return (
             decisions.ServeDocument(
                 request_id=event.request_id,
@@ -196,33 +200,38 @@
 
     @apply.register
     def _(self, event: events.ServeEnded, *, now_s):
-        self._serves.discard(event.request_id)
+        self._open_transfers.discard(event.request_id)
         return ()
 
-    def _ask_peers(self):
+    def _request_states(self):
         return [
             decisions.RequestState(vm_id=vm_id, site=self._site)
             for vm_id in self._startup.choose_peers(self._peers)
         ]
 
-    def _ask_again(self, now_s):
-        # Others may have put an older pair into force before the newest
-        # one was refused, which this process has not heard of.
-        key = self._newest_key()
-        is_stuck = self._force.is_refused(key)
-        if not is_stuck or not self._peers or now_s < self._ask_again_s:
+    def _repeat_requests(self, now_s):
+        # Peers may have put an older pair into force that this process never
+        # received, before they refused the newest one.
+        revisions = self._newest_revisions()
+        is_newest_refused = self._force.is_refused(revisions)
+        if (
+            not is_newest_refused
+            or not self._peers
+            or now_s < self._next_repeat_s
+        ):
             return []
-        self._ask_again_s = now_s + self._settings.ask_again_s
-        made = []
-        for _ in range(self._settings.peers_asked_again):
-            self._asks += 1
-            place = (self._asks * 7919) % len(self._peers)
-            made.append(
+        self._next_repeat_s = now_s + self._settings.repeat_period_s
+        emitted = []
+        for _ in range(self._settings.repeat_peer_count):
+            self._repeat_count += 1
+            # Steps by a prime spread the requests over the peers.
+            index = (self._repeat_count * 7919) % len(self._peers)
+            emitted.append(
                 decisions.RequestState(
-                    vm_id=self._peers[place].vm_id, site=self._site
+                    vm_id=self._peers[index].vm_id, site=self._site
                 )
             )
-        return made
+        return emitted
 
     def _read_platform(self, now_s):
         if self._reader.is_reader:
@@ -235,34 +244,36 @@
             names=names, store=self._store, now_s=now_s
         )
 
-    def _note_versions(self, versions, vm_id, now_s):
-        made = []
+    def _compare_versions(self, versions, vm_id, now_s):
+        emitted = []
         for version in versions:
             if version.name not in self._store:
                 continue
             newest = self._store.newest_revision(version.name)
             if version.revision > newest:
-                other = self._planner.want(version, vm_id=vm_id, now_s=now_s)
-                made.extend(self._report_conflict(version, other))
+                other_digest = self._planner.add_source(
+                    version, vm_id=vm_id, now_s=now_s
+                )
+                emitted.extend(self._report_conflict(version, other_digest))
             elif version.revision == newest:
-                made.extend(self._find_conflict(version))
-        return made
+                emitted.extend(self._check_conflict(version))
+        return emitted
 
-    def _find_conflict(self, version):
-        held = self._store.find(version.name, version.revision)
-        return self._report_conflict(version, held and held.digest)
+    def _check_conflict(self, version):
+        stored = self._store.find(version.name, version.revision)
+        return self._report_conflict(version, stored and stored.digest)
 
     def _report_conflict(self, version, digest):
         if digest is None or digest == version.digest:
             return ()
-        if self._conflicts.get(version.name) == version.revision:
+        if self._reported_conflicts.get(version.name) == version.revision:
             return ()
-        self._conflicts[version.name] = version.revision
+        self._reported_conflicts[version.name] = version.revision
         detail = f'held={digest:x} other={version.digest:x}'
         return (_report(ReportKind.CONFLICTING_CONTENTS, version, detail),)
 
     def _read_document(self, event):
-        is_whole = (
+        is_well_formed = (
             isinstance(event.text, str)
             and type(event.revision) is int
             and event.revision >= 0
@@ -270,8 +281,10 @@
             and len(event.text.encode(errors='replace'))
             <= self._settings.document_limit_bytes
         )
-        if not is_whole:
-            report = _report(ReportKind.MALFORMED, event, 'not a document')
+        if not is_well_formed:
+            report = _report(
+                ReportKind.MALFORMED, event, 'malformed or too large document'
+            )
             return None, (report,)
         document = documents.Document(
             name=event.name,
@@ -281,16 +294,20 @@
         )
         return document, ()
 
-    def _keep(self, document, now_s):
-        made = []
+    def _store_document(self, document, now_s):
+        emitted = []
         if self._store.put(document):
-            self._planner.drop(document.name, below=document.revision + 1)
-            made.append(decisions.SendSummary(versions=self._store.versions()))
+            self._planner.remove_missing(
+                document.name, below=document.revision + 1
+            )
+            emitted.append(
+                decisions.SendSummary(versions=self._store.versions())
+            )
         elif self._is_offered(document):
-            self._store.add_spare(document)
-        made.extend(self._settle(now_s))
-        made.extend(self._planner.take_fetches(now_s=now_s))
-        return made
+            self._store.retain(document)
+        emitted.extend(self._apply_newest(now_s))
+        emitted.extend(self._planner.take_fetches(now_s=now_s))
+        return emitted
 
     def _fail_fetch(self, event, now_s):
         self._planner.fail(
@@ -300,69 +317,78 @@
             now_s=now_s,
         )
 
-    def _read_in_force(self, versions):
+    def _read_revisions(self, versions):
         names = tuple(version.name for version in versions)
         if names != self._own_names:
             return None
         return tuple(version.revision for version in versions)
 
-    def _consider(self, event, key, now_s):
-        if self._force.diverges(key) and self._force.pair is not None:
+    def _compare_in_force(self, event, revisions, now_s):
+        if self._force.diverges(revisions) and self._force.pair is not None:
             return [
                 _report(ReportKind.DIVERGED, event.in_force[1], event.vm_id)
             ]
-        if not self._force.is_newer(key):
+        if not self._force.is_newer(revisions):
             return []
-        if self._offer is None or key > self._offer_key():
-            self._offer = event.in_force
+        if (
+            self._offered_versions is None
+            or revisions > self._offered_revisions()
+        ):
+            self._offered_versions = event.in_force
         for version in event.in_force:
             if self._store.find(version.name, version.revision) is None:
-                self._planner.want(version, vm_id=event.vm_id, now_s=now_s)
+                self._planner.add_source(
+                    version, vm_id=event.vm_id, now_s=now_s
+                )
         return []
 
-    def _settle(self, now_s):
-        if self._startup.is_listening(now_s=now_s):
+    def _apply_newest(self, now_s):
+        if self._startup.awaits_answers(now_s=now_s):
             return []
-        if not self._startup.is_over and self._is_behind(now_s):
+        if not self._startup.is_complete and self._awaits_documents(now_s):
             return []
-        made = []
+        emitted = []
         for pair in (self._newest_pair(), self._offered_pair()):
-            if pair is None or not self._may_try(pair.key(), now_s):
+            if pair is None or not self._may_apply(pair.revisions(), now_s):
                 continue
-            made.extend(self._try_pair(pair))
-        return made
+            emitted.extend(self._apply_pair(pair))
+        return emitted
 
-    def _is_behind(self, now_s):
-        if self._startup.is_patience_over(now_s=now_s):
+    def _awaits_documents(self, now_s):
+        if self._startup.is_catch_up_over(now_s=now_s):
             return False
         return any(
-            self._planner.lacks(name, above=self._store.newest_revision(name))
+            self._planner.is_missing(
+                name, above=self._store.newest_revision(name)
+            )
             for name in self._own_names
         )
 
-    def _may_try(self, key, now_s):
+    def _may_apply(self, revisions, now_s):
         return (
-            self._force.is_newer(key)
-            and not self._force.is_refused(key)
-            and self._startup.may_apply(key, now_s=now_s)
+            self._force.is_newer(revisions)
+            and not self._force.is_refused(revisions)
+            and self._startup.may_apply(revisions, now_s=now_s)
         )
 
-    def _try_pair(self, pair):
-        is_confirmed = self._startup.is_over or self._startup.is_confirmed
-        made = self._force.try_pair(pair, is_confirmed=is_confirmed)
-        if not isinstance(made, decisions.Apply):
-            return [made]
-        self._startup.is_over = True
-        self._offer = None
-        self._store.keep_spares((pair.base, pair.overlay))
+    def _apply_pair(self, pair):
+        is_confirmed = self._startup.is_complete or self._startup.is_confirmed
+        decision = self._force.apply_pair(pair, is_confirmed=is_confirmed)
+        if not isinstance(decision, decisions.Apply):
+            return [decision]
+        self._startup.is_complete = True
+        self._offered_versions = None
+        self._store.retain_only((pair.base, pair.overlay))
         if is_confirmed:
-            return [made]
+            return [decision]
         report = _report(
-            ReportKind.UNCONFIRMED, pair.overlay, 'no peer with a state'
+            ReportKind.UNCONFIRMED,
+            pair.overlay,
+            'no peer with a configuration in force',
         )
-        return [made, report]
+        return [decision, report]
 
-    def _newest_key(self):
+    def _newest_revisions(self):
         return tuple(map(self._store.newest_revision, self._own_names))
 
     def _newest_pair(self):
@@ -371,22 +397,22 @@
             return None
         return documents.Pair(base=base, overlay=overlay)
 
-    def _offer_key(self):
-        return tuple(version.revision for version in self._offer)
+    def _offered_revisions(self):
+        return tuple(version.revision for version in self._offered_versions)
 
     def _is_offered(self, document):
-        return self._offer is not None and any(
+        return self._offered_versions is not None and any(
             (version.name, version.revision)
             == (document.name, document.revision)
-            for version in self._offer
+            for version in self._offered_versions
         )
 
     def _offered_pair(self):
-        if self._offer is None:
+        if self._offered_versions is None:
             return None
         base, overlay = (
             self._store.find(version.name, version.revision)
-            for version in self._offer
+            for version in self._offered_versions
         )
         if base is None or overlay is None:
             return None
--- a/packages/savoryyoke/savoryyoke/propagation/decisions.py
+++ b/packages/savoryyoke/savoryyoke/propagation/decisions.py
@@ -1,4 +1,4 @@
-"""Define the decisions that propagation hands out."""
+"""Define the decisions that propagation returns."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class ReportKind(enum.Enum):
-    """Name what a report is about."""
+    """Name the kind of fault that a report describes."""
 
     REFUSED = 'refused'
     CONFLICTING_CONTENTS = 'conflicting_contents'
@@ -20,10 +20,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReadPlatform:
-    """Wait until the platform holds a revision above ``wait_revision``.
+    """Read a document of the platform above ``wait_revision``.
 
-    Answer with ``PlatformRead``, with ``PlatformUnchanged`` after
-    ``timeout_s``, or with ``PlatformFailed``.
+    The call waits for such a revision. The owner reports ``PlatformRead``,
+    ``PlatformUnchanged`` if there is none within ``timeout_s``, or
+    ``PlatformFailed``.
     """
 
     name: str
@@ -33,14 +34,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SendSummary:
-    """Carry these versions on the messages between members."""
+    """Include these versions in the messages between members."""
 
     versions: tuple[messages.Version, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestState:
-    """Ask a peer what it holds and what is in force at a site."""
+    """Request the versions that a peer holds and has in force at a site."""
 
     vm_id: str
     site: str
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerState:
-    """Answer a peer that asked for the state at a site."""
+    """Answer a peer's request for the state at a site."""
 
     request_id: int
     held: tuple[messages.Version, ...]
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServeDocument:
-    """Send a document; report ``ServeEnded`` when done."""
+    """Send a document to a peer; report ``ServeEnded`` when done."""
 
     request_id: int
     name: str
@@ -76,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RefuseDocument:
-    """Tell a peer to fetch a document elsewhere."""
+    """Refuse a peer's request for a document; it may try other peers."""
 
     request_id: int
 
@@ -99,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
-    """Tell the operators of a fault in what was read or received."""
+    """Report a fault in a document or version to the operators."""
 
     kind: ReportKind
     name: str
--- a/packages/savoryyoke/savoryyoke/propagation/documents.py
+++ b/packages/savoryyoke/savoryyoke/propagation/documents.py
@@ -1,4 +1,4 @@
-"""Hold the newest revision of each document."""
+"""Store the newest revision of each document."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 
 
 def digest_text(text):
-    """Return a 64-bit digest of a document, never 0."""
+    """Return a 64-bit digest of a document's text, never 0."""
     return xxhash.xxh3_64_intdigest(text.encode()) or 1
 
 
@@ -29,7 +29,7 @@
     digest: int
 
     def version(self):
-        """Return the version that names this document."""
+        """Return the version that identifies this document."""
         return messages.Version(
             name=self.name, revision=self.revision, digest=self.digest
         )
@@ -42,8 +42,8 @@
     base: Document
     overlay: Document
 
-    def key(self):
-        """Return both revisions."""
+    def revisions(self):
+        """Return the revisions of base and overlay."""
         return (self.base.revision, self.overlay.revision)
 
     def versions(self):
@@ -52,14 +52,15 @@
 
 
 class DocumentStore:
-    """Hold, of each document, the newest revision and those in force.
+    """Store the newest revision of each document and retained older ones.
 
-    The newest revision only grows; the content of a revision never changes.
+    The newest revision never decreases; the content of a revision never
+    changes.
     """
 
     def __init__(self, *, names):
         self._newest_by_name = dict.fromkeys(names)
-        self._spare_by_key = {}
+        self._retained_by_key = {}
 
     def __contains__(self, name):
         return name in self._newest_by_name
@@ -70,38 +71,38 @@
         return tuple(self._newest_by_name)
 
     def newest(self, name):
-        """Return the newest document of a name, or None."""
+        """Return the newest revision of a document, or None."""
         return self._newest_by_name.get(name)
 
     def newest_revision(self, name):
-        """Return the newest revision of a name, or -1."""
+        """Return the number of a document's newest revision, or -1."""
         document = self._newest_by_name.get(name)
         return -1 if document is None else document.revision
 
     def find(self, name, revision):
-        """Return the document of exactly that revision, or None."""
+        """Return exactly that revision of a document, or None."""
         newest = self._newest_by_name.get(name)
         if newest is not None and newest.revision == revision:
             return newest
-        return self._spare_by_key.get((name, revision))
+        return self._retained_by_key.get((name, revision))
 
     def put(self, document):
-        """Keep a document if it is the newest; return whether it is."""
+        """Store a document if it is the newest; return whether it is."""
         if document.revision <= self.newest_revision(document.name):
             return False
         self._newest_by_name[document.name] = document
         return True
 
-    def keep_spares(self, documents):
-        """Keep exactly these documents besides the newest ones."""
-        self._spare_by_key = {
+    def retain_only(self, documents):
+        """Retain exactly these documents in addition to the newest ones."""
+        self._retained_by_key = {
             (document.name, document.revision): document
             for document in documents
         }
 
-    def add_spare(self, document):
-        """Keep a document besides the newest one."""
-        self._spare_by_key[(document.name, document.revision)] = document
+    def retain(self, document):
+        """Retain a document in addition to the newest one."""
+        self._retained_by_key[(document.name, document.revision)] = document
 
     def versions(self):
         """Return the versions of the newest documents."""
--- a/packages/savoryyoke/savoryyoke/propagation/events.py
+++ b/packages/savoryyoke/savoryyoke/propagation/events.py
@@ -1,4 +1,4 @@
-"""Define the events that propagation takes in."""
+"""Define the events that propagation processes."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Peer:
-    """Name a live process; ``role`` is ``entry`` or ``target``."""
+    """Identify a live process; ``role`` is ``entry`` or ``target``."""
 
     vm_id: str
     role: str
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PeersChanged:
-    """Report the other processes that are taken to be alive."""
+    """Report all other processes that are considered alive."""
 
     peers: tuple[Peer, ...]
 
@@ -34,7 +34,7 @@
     """Report a peer's answer to ``RequestState``.
 
     ``held`` are its newest versions; ``in_force`` is empty, or the versions
-    of the base and the overlay that are in force at the site asked for.
+    of the base and the overlay that are in force at the requested site.
     """
 
     vm_id: str
@@ -44,14 +44,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StateRequestFailed:
-    """Report that a peer gave no answer to ``RequestState``."""
+    """Report that a peer did not answer ``RequestState``."""
 
     vm_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StateRequested:
-    """Report that a peer asks for the state at a site."""
+    """Report that a peer requests the state at a site."""
 
     request_id: int
     site: str
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PlatformRead:
-    """Report a document as the platform gave it."""
+    """Report a document that was read from the platform."""
 
     name: str
     revision: int
@@ -68,21 +68,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PlatformUnchanged:
-    """Report that a watch ended without news."""
+    """Report that a call to the platform ended without a newer revision."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PlatformFailed:
-    """Report that a call of the platform failed."""
+    """Report that a call to the platform failed."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DocumentFetched:
-    """Report a document that a peer gave."""
+    """Report a document that was fetched from a peer."""
 
     vm_id: str
     name: str
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class FetchFailed:
-    """Report that a peer did not give a document."""
+    """Report that a document could not be fetched from a peer."""
 
     vm_id: str
     name: str
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DocumentRequested:
-    """Report that a peer asks for a document."""
+    """Report that a peer requests a document."""
 
     request_id: int
     name: str
@@ -110,11 +110,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServeEnded:
-    """Report that a document was sent, or that its peer went away."""
+    """Report that a document was sent or that the peer disconnected."""
 
     request_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ticked:
-    """Report that time has passed; send it every quarter of a second."""
+    """Report that one tick period of 0.25 s has passed."""
--- a/packages/savoryyoke/savoryyoke/propagation/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/propagation/exceptions.py
@@ -2,12 +2,12 @@
 
 
 class PropagationError(Exception):
-    """Serve as the base of every error that this package raises."""
+    """Serve as the base class of the errors that this package raises."""
 
 
 class UnknownEvent(PropagationError):
-    """Report an event that the aggregate has no rule for."""
+    """Report an unsupported event type."""
 
     def __init__(self, *, event):
-        super().__init__(f'no rule for {type(event).__name__}')
+        super().__init__(f'unsupported event type {type(event).__name__}')
         self.event = event
--- a/packages/savoryyoke/savoryyoke/propagation/force.py
+++ b/packages/savoryyoke/savoryyoke/propagation/force.py
@@ -1,56 +1,71 @@
-"""Decide which pair of documents is in force."""
+"""Decide which base and overlay are in force."""
 
 from savoryyoke.propagation import decisions
 from savoryyoke.propagation import documents
 from savoryyoke.propagation import judgements
 
-REFUSED_LIMIT = 256
+REFUSED_PAIR_LIMIT = 256
 
 
 class ForceKeeper:
-    """Hold the pair in force at a site and the pairs that were refused.
+    """Hold the pair in force at a site and the refused pairs.
 
-    Neither revision of the pair in force ever decreases. ``judge`` takes the
-    texts of a base and an overlay and returns ``Accepted`` or ``Refused``.
+    Neither revision of the pair in force ever decreases. ``judge`` is a
+    function of the texts of a base and an overlay that returns ``Accepted``
+    or ``Refused``.
     """
 
     def __init__(self, *, site, judge):
         self._overlay_name = documents.overlay_name(site)
         self._judge = judge
-        self._refused_keys = {}
+        self._refused_revisions = {}
         self.pair = None
         self.digest = None
 
     @property
-    def key(self):
-        """Return the revisions in force, or a pair below all others."""
-        return (-1, -1) if self.pair is None else self.pair.key()
+    def revisions(self):
+        """Return the revisions in force, or (-1, -1) if there are none."""
+        return (-1, -1) if self.pair is None else self.pair.revisions()
 
-    def is_newer(self, key):
-        """Return whether a pair may follow the one in force."""
-        return key != self.key and all(
-            mine <= other for mine, other in zip(self.key, key, strict=True)
+    def is_newer(self, revisions):
+        """Return whether a pair may replace the one in force.
+
+        It differs, and neither of its revisions is lower.
+        """
+        return revisions != self.revisions and all(
+            own_revision <= other_revision
+            for own_revision, other_revision in zip(
+                self.revisions, revisions, strict=True
+            )
         )
 
-    def is_refused(self, key):
-        """Return whether a pair was judged and refused."""
-        return key in self._refused_keys
+    def is_refused(self, revisions):
+        """Return whether a pair was validated and refused."""
+        return revisions in self._refused_revisions
+
+    def diverges(self, revisions):
+        """Return whether one revision is higher, and one lower, than in force.
 
-    def diverges(self, key):
-        """Return whether neither of two pairs may follow the other."""
-        return not self.is_newer(key) and any(
-            mine < other for mine, other in zip(self.key, key, strict=True)
+        Neither of the two pairs may then replace the other.
+        """
+        return not self.is_newer(revisions) and any(
+            own_revision < other_revision
+            for own_revision, other_revision in zip(
+                self.revisions, revisions, strict=True
+            )
         )
 
-    def try_pair(self, pair, *, is_confirmed):
-        """Judge a pair; return ``Apply``, or a ``Report`` of its faults."""
+    def apply_pair(self, pair, *, is_confirmed):
+        """Validate a pair; return ``Apply``, or a ``Report`` of its faults."""
         verdict = self._judge(pair.base.text, pair.overlay.text)
         if isinstance(verdict, judgements.Refused):
             return self._refuse(pair, verdict)
         self.pair = pair
         self.digest = verdict.digest
-        self._refused_keys = {
-            key: None for key in self._refused_keys if self.is_newer(key)
+        self._refused_revisions = {
+            revisions: None
+            for revisions in self._refused_revisions
+            if self.is_newer(revisions)
         }
         return decisions.Apply(
             base_revision=pair.base.revision,
@@ -62,9 +77,9 @@
         )
 
     def _refuse(self, pair, verdict):
-        self._refused_keys[pair.key()] = None
-        while len(self._refused_keys) > REFUSED_LIMIT:
-            del self._refused_keys[next(iter(self._refused_keys))]
+        self._refused_revisions[pair.revisions()] = None
+        while len(self._refused_revisions) > REFUSED_PAIR_LIMIT:
+            del self._refused_revisions[next(iter(self._refused_revisions))]
         return decisions.Report(
             kind=decisions.ReportKind.REFUSED,
             name=self._overlay_name,
--- a/packages/savoryyoke/savoryyoke/propagation/judgements.py
+++ b/packages/savoryyoke/savoryyoke/propagation/judgements.py
@@ -1,17 +1,20 @@
-"""Define what the injected judge answers."""
+"""Define the results of the validation of a configuration."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Accepted:
-    """Say that a base and an overlay are valid together."""
+    """Report that a base and an overlay are valid together.
+
+    ``digest`` identifies the resulting configuration.
+    """
 
     digest: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """Say why a base and an overlay are not valid together."""
+    """Report why a base and an overlay are not valid together."""
 
     faults: tuple
--- a/packages/savoryyoke/savoryyoke/propagation/platform_reads.py
+++ b/packages/savoryyoke/savoryyoke/propagation/platform_reads.py
@@ -1,4 +1,4 @@
-"""Choose who reads the platform, and pace its calls."""
+"""Choose the processes that read the platform; limit their call rate."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Watch:
-    """Hold one open call."""
+    """Describe one open call."""
 
     deadline_s: float
 
@@ -16,9 +16,9 @@
 class PlatformReader:
     """Decide when this process calls the platform, and for which document.
 
-    Calls are spaced by a fixed time from a start that depends on the name
-    of the process, so that the sum over a fleet has a bound whatever its
-    processes know of each other.
+    Each process spaces its calls by a fixed time, from a start time derived
+    from its name. This limits the call rate of the fleet even if its
+    processes cannot reach each other.
     """
 
     def __init__(self, *, vm_id, role, data_centre, settings):
@@ -32,11 +32,11 @@
         self._next_call_s = None
         self.is_reader = False
 
-    def choose(self, peers):
-        """Decide from the live processes whether this one reads.
+    def elect(self, peers):
+        """Decide from the live processes whether this one is a reader.
 
-        The lowest hashes of a data centre's entries read; targets stand in
-        while no entry is known anywhere.
+        The entries with the lowest hashes in a data centre are readers.
+        Targets replace them while no entry is alive in any data centre.
         """
         role = 'entry'
         if self._role != 'entry':
@@ -44,22 +44,22 @@
                 self.is_reader = False
                 return
             role = self._role
-        rivals = sum(
-            self._weight(peer.vm_id) < self._weight(self._vm_id)
+        lower_count = sum(
+            self._hash_weight(peer.vm_id) < self._hash_weight(self._vm_id)
             for peer in peers
             if peer.role == role and peer.data_centre == self._data_centre
         )
-        self.is_reader = rivals < self._settings.readers
+        self.is_reader = lower_count < self._settings.reader_count
 
     def take_calls(self, *, names, store, now_s):
         """Return the calls that are due, at most one at a time."""
         if self._next_call_s is None:
-            jitter = utils.fraction(self._vm_id, 'platform')
+            jitter = utils.hash_fraction(self._vm_id, 'platform')
             self._next_call_s = now_s + jitter * self._settings.call_spacing_s
         self._expire(now_s)
         if now_s < self._next_call_s:
             return ()
-        for name in self._by_due_time(names):
+        for name in self._sort_by_due_time(names):
             if name in self._watches_by_name:
                 continue
             if now_s < self._due_s_by_name.get(name, 0.0):
@@ -67,10 +67,10 @@
             return (self._call(name, store, now_s),)
         return ()
 
-    def end(self, name, *, is_good, now_s):
-        """Close a call; wait longer after each that brought no good."""
+    def end_call(self, name, *, is_success, now_s):
+        """Close a call; increase the delay after each consecutive failure."""
         self._watches_by_name.pop(name, None)
-        failures = 0 if is_good else self._failures_by_name.get(name, 0) + 1
+        failures = 0 if is_success else self._failures_by_name.get(name, 0) + 1
         self._failures_by_name[name] = failures
         if not failures:
             self._due_s_by_name[name] = now_s
@@ -79,12 +79,12 @@
             self._settings.call_spacing_s * 2 ** min(failures - 1, 10),
             self._settings.backoff_limit_s,
         )
-        jitter = utils.fraction(self._vm_id, name, failures)
+        jitter = utils.hash_fraction(self._vm_id, name, failures)
         self._due_s_by_name[name] = now_s + pause_s * (0.5 + jitter / 2)
 
     def _call(self, name, store, now_s):
         self._next_call_s = now_s + self._settings.call_spacing_s
-        timeout_s = self._settings.watch_s
+        timeout_s = self._settings.watch_timeout_s
         self._watches_by_name[name] = Watch(
             deadline_s=now_s + timeout_s + self._settings.watch_grace_s
         )
@@ -94,7 +94,7 @@
             timeout_s=timeout_s,
         )
 
-    def _by_due_time(self, names):
+    def _sort_by_due_time(self, names):
         return sorted(
             names, key=lambda name: self._due_s_by_name.get(name, 0.0)
         )
@@ -102,7 +102,7 @@
     def _expire(self, now_s):
         for name, watch in list(self._watches_by_name.items()):
             if watch.deadline_s < now_s:
-                self.end(name, is_good=False, now_s=now_s)
+                self.end_call(name, is_success=False, now_s=now_s)
 
-    def _weight(self, vm_id):
-        return (utils.fraction(vm_id, self._data_centre), vm_id)
+    def _hash_weight(self, vm_id):
+        return (utils.hash_fraction(vm_id, self._data_centre), vm_id)
--- a/packages/savoryyoke/savoryyoke/propagation/startup.py
+++ b/packages/savoryyoke/savoryyoke/propagation/startup.py
@@ -1,126 +1,142 @@
-"""Find out at the start what other processes have in force."""
+"""Determine at the start what other processes have in force."""
 
 from savoryyoke.propagation import utils
 
-# Ranking every peer of a large fleet would take milliseconds.
-SAMPLE_SIZE = 100
+# Sorting all peers of a large fleet would take milliseconds.
+SAMPLE_SIZE_PEERS = 100
 
 
 class Startup:
-    """Ask peers over the data centres and collect their answers."""
+    """Request the state of peers in several data centres at the start."""
 
     def __init__(self, *, vm_id, data_centre, settings):
         self._vm_id = vm_id
         self._data_centre = data_centre
         self._settings = settings
         self._started_s = None
-        self._asked = set()
-        self._answered = set()
-        self._failed = set()
-        self._floor = (-1, -1)
-        self._useful_answers = 0
-        self.is_over = False
+        self._requested_ids = set()
+        self._answered_ids = set()
+        self._failed_ids = set()
+        self._minimum_revisions = (-1, -1)
+        self._useful_answer_count = 0
+        self.is_complete = False
 
     @property
     def is_confirmed(self):
-        """Return whether a peer with something in force has answered."""
-        return self._useful_answers > 0
+        """Return whether a peer with a configuration in force has answered."""
+        return self._useful_answer_count > 0
 
     @property
-    def floor(self):
-        """Return the newest revisions that a peer has in force."""
-        return self._floor
+    def minimum_revisions(self):
+        """Return the newest revisions that peers have in force."""
+        return self._minimum_revisions
 
     def begin(self, *, now_s):
-        """Start the waiting times."""
+        """Start the timeouts on the first call."""
         if self._started_s is None:
             self._started_s = now_s
 
     def choose_peers(self, peers):
-        """Return the peers to ask next, the nearest of each turn first."""
-        if self.is_over:
+        """Return the identifiers of the peers whose state to request next."""
+        if self.is_complete:
             return ()
-        limit = self._settings.peers_asked
-        pending = len(self._asked - self._answered - self._failed)
-        room = min(
-            limit - pending - self._useful_answers,
-            self._settings.peers_asked_limit - len(self._asked),
+        limit = self._settings.startup_peer_count
+        pending = len(
+            self._requested_ids - self._answered_ids - self._failed_ids
         )
-        if room <= 0:
+        count = min(
+            limit - pending - self._useful_answer_count,
+            self._settings.startup_peer_limit - len(self._requested_ids),
+        )
+        if count <= 0:
             return ()
-        fresh = [
+        candidates = [
             peer
             for peer in self._sample(peers)
-            if peer.vm_id not in self._asked
+            if peer.vm_id not in self._requested_ids
+        ]
+        chosen = [
+            peer.vm_id
+            for peer in self._interleave_data_centres(candidates)[:count]
         ]
-        chosen = [peer.vm_id for peer in self._spread(fresh)[:room]]
-        self._asked.update(chosen)
+        self._requested_ids.update(chosen)
         return chosen
 
-    def note_answer(self, vm_id, in_force_key):
-        """Take in an answer; its key is None where nothing is in force."""
-        self._answered.add(vm_id)
-        if in_force_key is not None and not self.is_over:
-            self._useful_answers += 1
-            self._floor = tuple(map(max, self._floor, in_force_key))
-
-    def note_failure(self, vm_id):
-        """Take in that a peer did not answer."""
-        self._failed.add(vm_id)
-
-    def is_listening(self, *, now_s):
-        """Return whether more answers are worth waiting for."""
+    def record_answer(self, vm_id, revisions):
+        """Record an answer; ``revisions`` is None if nothing is in force."""
+        self._answered_ids.add(vm_id)
+        if revisions is not None and not self.is_complete:
+            self._useful_answer_count += 1
+            self._minimum_revisions = tuple(
+                map(max, self._minimum_revisions, revisions)
+            )
+
+    def record_failure(self, vm_id):
+        """Record that a peer did not answer."""
+        self._failed_ids.add(vm_id)
+
+    def awaits_answers(self, *, now_s):
+        """Return whether to wait for more answers."""
         if self._started_s is None:
             return True
-        passed_s = now_s - self._started_s
-        if passed_s < self._settings.listen_s:
+        elapsed_s = now_s - self._started_s
+        if elapsed_s < self._settings.answer_wait_minimum_s:
             return True
-        pending = self._asked - self._answered - self._failed
-        is_answered = self.is_confirmed and not pending
-        return not is_answered and passed_s < self._settings.answer_s
+        pending = self._requested_ids - self._answered_ids - self._failed_ids
+        has_all_answers = self.is_confirmed and not pending
+        return (
+            not has_all_answers
+            and elapsed_s < self._settings.answer_wait_limit_s
+        )
 
-    def may_apply(self, key, *, now_s):
-        """Return whether a pair is new enough, or the wait is over."""
-        if self.is_over:
+    def may_apply(self, revisions, *, now_s):
+        """Return whether a pair is new enough or the wait for one is over."""
+        if self.is_complete:
             return True
-        if key[0] >= self._floor[0] and key[1] >= self._floor[1]:
+        if (
+            revisions[0] >= self._minimum_revisions[0]
+            and revisions[1] >= self._minimum_revisions[1]
+        ):
             return True
-        return self.is_patience_over(now_s=now_s)
+        return self.is_catch_up_over(now_s=now_s)
 
-    def is_patience_over(self, *, now_s):
-        """Return whether to stop waiting for what peers have shown."""
-        if self.is_over or self._started_s is None:
-            return self.is_over
+    def is_catch_up_over(self, *, now_s):
+        """Return whether the wait for newer documents of peers is over."""
+        if self.is_complete or self._started_s is None:
+            return self.is_complete
         return now_s - self._started_s >= self._settings.catch_up_s
 
     def needs_platform(self, *, now_s):
-        """Return whether to read the platform for want of any peer."""
-        if self.is_over or self._started_s is None:
+        """Return whether to read the platform for lack of answers of peers."""
+        if self.is_complete or self._started_s is None:
             return False
         wait_s = self._settings.fallback_s
-        wait_s += self._settings.fallback_jitter_s * utils.fraction(
+        wait_s += self._settings.fallback_jitter_s * utils.hash_fraction(
             self._vm_id, 'fallback'
         )
         return now_s - self._started_s >= wait_s
 
     def _sample(self, peers):
-        if len(peers) <= SAMPLE_SIZE:
+        if len(peers) <= SAMPLE_SIZE_PEERS:
             return peers
-        stride = len(peers) // SAMPLE_SIZE
-        turn = utils.fraction(self._vm_id, len(self._asked))
-        return peers[int(turn * stride) :: stride]
-
-    def _spread(self, peers):
-        # Peers elsewhere come first: a cut data centre agrees with itself.
-        turns = {}
-        order = []
-        for peer in sorted(peers, key=self._weight):
-            turn = turns.get(peer.data_centre, 0)
-            turns[peer.data_centre] = turn + 1
-            is_near = peer.data_centre == self._data_centre
-            order.append((turn, is_near, self._weight(peer), peer))
-        order.sort(key=lambda item: item[:3])
-        return [item[3] for item in order]
-
-    def _weight(self, peer):
-        return utils.fraction(self._vm_id, peer.vm_id)
+        stride = len(peers) // SAMPLE_SIZE_PEERS
+        share = utils.hash_fraction(self._vm_id, len(self._requested_ids))
+        return peers[int(share * stride) :: stride]
+
+    def _interleave_data_centres(self, peers):
+        # Takes one peer of each data centre in turn, the local one last: all
+        # processes of a partitioned data centre may have the same stale state.
+        counts_by_data_centre = {}
+        ranked_peers = []
+        for peer in sorted(peers, key=self._hash_weight):
+            position = counts_by_data_centre.get(peer.data_centre, 0)
+            counts_by_data_centre[peer.data_centre] = position + 1
+            is_local = peer.data_centre == self._data_centre
+            ranked_peers.append(
+                (position, is_local, self._hash_weight(peer), peer)
+            )
+        ranked_peers.sort(key=lambda item: item[:3])
+        return [item[3] for item in ranked_peers]
+
+    def _hash_weight(self, peer):
+        return utils.hash_fraction(self._vm_id, peer.vm_id)
--- a/packages/savoryyoke/tests/propagation/spread.py
+++ b/packages/savoryyoke/tests/propagation/spread.py
@@ -1,4 +1,4 @@
-"""Run many ``Propagation`` aggregates on a network and a platform."""
+"""Simulate many ``Propagation`` aggregates, a network and a platform."""
 
 import collections
 
@@ -17,7 +17,7 @@
 
 
 def judge(base_text, overlay_text):
-    """Refuse texts that say so themselves."""
+    """Refuse texts that contain ``bad``."""
     text = f'{base_text}|{overlay_text}'
     if 'bad' in text:
         return judgements.Refused(faults=(text,))
@@ -25,7 +25,7 @@
 
 
 class Platform:
-    """Stand in for the configuration service, and count its calls."""
+    """Simulate the configuration service and count its calls."""
 
     def __init__(self, network):
         self.network = network
@@ -38,7 +38,7 @@
         self._watches = {}
 
     def publish(self, name, revision, text):
-        """Publish a revision and wake those who wait for it."""
+        """Publish a revision and answer the calls that wait for it."""
         self.documents[name] = (revision, text)
         waiting, self._watches = self._watches, {}
         for key, (call, answer) in waiting.items():
@@ -48,7 +48,7 @@
                 self._watches[key] = (call, answer)
 
     def call(self, vm_id, call, answer):
-        """Take one call; its answer goes to ``answer``."""
+        """Process one call; pass the resulting event to ``answer``."""
         self.calls_by_second[int(self.network.now_s)] += 1
         self.callers.add(vm_id)
         if self.is_down:
@@ -62,23 +62,23 @@
 
     def _watch(self, vm_id, call, answer):
         key = (vm_id, call.name)
-        self._watches[key] = held = (call, answer)
+        self._watches[key] = watch = (call, answer)
 
         def end():
-            if self._watches.get(key) is held:
+            if self._watches.get(key) is watch:
                 del self._watches[key]
                 answer(events.PlatformUnchanged(name=call.name))
 
         self.network.call_at(self.network.now_s + call.timeout_s, end)
 
-    def _revision(self, name, held):
-        return held.get(name, (-1, ''))[0]
+    def _revision(self, name, documents_by_name):
+        return documents_by_name.get(name, (-1, ''))[0]
 
-    def _answer(self, call, answer, held):
-        if call.name not in held:
+    def _answer(self, call, answer, documents_by_name):
+        if call.name not in documents_by_name:
             self._reply(answer, events.PlatformFailed(name=call.name))
             return
-        revision, text = held[call.name]
+        revision, text = documents_by_name[call.name]
         event = events.PlatformRead(
             name=call.name, revision=revision, text=text
         )
@@ -90,7 +90,7 @@
 
 
 class Spread:
-    """Join processes by gossip, requests and a platform."""
+    """Connect processes by gossip, requests and a platform."""
 
     def __init__(
         self, *, network, entries, targets, data_centres=6, kind=None
@@ -115,11 +115,11 @@
         self.floors_by_id = {}
         self.below_floor = []
         self.kinds = collections.Counter()
-        self.most_serves = 0
+        self.most_open_transfers = 0
         self.transfer_s = TRANSFER_S
 
     def start(self, vm_id):
-        """Start a process, also in place of a running one."""
+        """Start a process, or restart a running one."""
         peer = self.peers_by_id[vm_id]
         node = self.kind(
             vm_id=vm_id,
@@ -132,22 +132,22 @@
         self.nodes_by_id[vm_id] = node
         self.versions_by_id[vm_id] = ((), 0)
         self.floors_by_id[vm_id] = (-1, -1)
-        others = tuple(p for p in self.peers if p.vm_id != vm_id)
+        other_peers = tuple(peer for peer in self.peers if peer.vm_id != vm_id)
         ticked = events.Ticked()
 
         def tick(now_s):
             self.feed(vm_id, node, ticked)
-            place = int(self.network.random.random() * len(self.peers))
+            index = int(self.network.random.random() * len(self.peers))
             versions = self.versions_by_id[vm_id]
-            other = self.peers[place].vm_id
-            self.network.send(vm_id, other, (True, versions))
+            other_id = self.peers[index].vm_id
+            self.network.send(vm_id, other_id, (True, versions))
 
         def receive(source, message, now_s):
             is_ping, (versions, digest) = message
-            own = self.versions_by_id[vm_id]
+            own_versions = self.versions_by_id[vm_id]
             if is_ping:
-                self.network.send(vm_id, source, (False, own))
-            if digest != own[1]:
+                self.network.send(vm_id, source, (False, own_versions))
+            if digest != own_versions[1]:
                 self.feed(
                     vm_id,
                     node,
@@ -155,7 +155,7 @@
                 )
 
         self.network.attach(vm_id, receive, tick, TICK_S)
-        self.feed(vm_id, node, events.PeersChanged(peers=others))
+        self.feed(vm_id, node, events.PeersChanged(peers=other_peers))
 
     def kill(self, vm_id):
         """Kill a process."""
@@ -163,12 +163,12 @@
         self.nodes_by_id.pop(vm_id, None)
 
     def feed(self, vm_id, node, event):
-        """Give a process an event, unless it is no longer that process."""
+        """Pass an event to a process unless it was replaced by a restart."""
         if self.nodes_by_id.get(vm_id) is not node:
             return
-        for made in node.apply(event, now_s=self.network.now_s):
-            self.kinds[type(made).__name__] += 1
-            self._carry_out(vm_id, node, made)
+        for decision in node.apply(event, now_s=self.network.now_s):
+            self.kinds[type(decision).__name__] += 1
+            self._carry_out(vm_id, node, decision)
 
     def in_force(self):
         """Return the revisions in force and how many have them."""
@@ -176,77 +176,85 @@
             node.in_force for node in self.nodes_by_id.values()
         )
 
-    def _carry_out(self, vm_id, node, made):
+    def _carry_out(self, vm_id, node, decision):
         now_s = self.network.now_s
-        if isinstance(made, decisions.Apply):
-            key = (made.base_revision, made.overlay_revision)
+        if isinstance(decision, decisions.Apply):
+            key = (decision.base_revision, decision.overlay_revision)
             self.applied.append((now_s, vm_id, node, key))
             floor = self.floors_by_id[vm_id]
             if key[0] < floor[0] or key[1] < floor[1]:
                 self.below_floor.append((vm_id, key, floor))
-            # Only the first pair of a process has a floor set by peers.
+            # Peers set lower bounds only for the first pair of a process.
             self.floors_by_id[vm_id] = (-1, -1)
-        elif isinstance(made, decisions.Report):
-            self.reports.append((vm_id, made))
-        elif isinstance(made, decisions.SendSummary):
-            digest = composer.digest_versions(made.versions)
-            self.versions_by_id[vm_id] = (made.versions, digest)
-        elif isinstance(made, decisions.ReadPlatform):
+        elif isinstance(decision, decisions.Report):
+            self.reports.append((vm_id, decision))
+        elif isinstance(decision, decisions.SendSummary):
+            digest = composer.digest_versions(decision.versions)
+            self.versions_by_id[vm_id] = (decision.versions, digest)
+        elif isinstance(decision, decisions.ReadPlatform):
             self.platform.call(
-                vm_id, made, lambda event: self.feed(vm_id, node, event)
+                vm_id, decision, lambda event: self.feed(vm_id, node, event)
             )
         else:
-            self._request(vm_id, node, made)
+            self._request(vm_id, node, decision)
 
-    def _request(self, vm_id, node, made):
+    def _request(self, vm_id, node, decision):
         due_s = self.network.now_s + self.transfer_s
-        if isinstance(made, decisions.RequestState):
-            failed = events.StateRequestFailed(vm_id=made.vm_id)
+        if isinstance(decision, decisions.RequestState):
+            failed = events.StateRequestFailed(vm_id=decision.vm_id)
         else:
             failed = events.FetchFailed(
-                vm_id=made.vm_id, name=made.name, revision=made.revision
+                vm_id=decision.vm_id,
+                name=decision.name,
+                revision=decision.revision,
             )
-        peer = self.nodes_by_id.get(made.vm_id)
-        is_cut = self.network.is_blocked(vm_id, made.vm_id)
+        peer = self.nodes_by_id.get(decision.vm_id)
+        is_cut = self.network.is_blocked(vm_id, decision.vm_id)
         if (
             peer is None
             or is_cut
-            or self.network.is_blocked(made.vm_id, vm_id)
+            or self.network.is_blocked(decision.vm_id, vm_id)
         ):
-            late_s = self.network.now_s + REQUEST_TIMEOUT_S
+            timeout_at_s = self.network.now_s + REQUEST_TIMEOUT_S
             self.network.call_at(
-                late_s, lambda: self.feed(vm_id, node, failed)
+                timeout_at_s, lambda: self.feed(vm_id, node, failed)
             )
             return
-        event = self._serve(vm_id, node, peer, made) or failed
+        event = self._serve(vm_id, node, peer, decision) or failed
         self.network.call_at(due_s, lambda: self.feed(vm_id, node, event))
 
-    def _serve(self, vm_id, node, peer, made):
+    def _serve(self, vm_id, node, peer, decision):
         now_s = self.network.now_s
         request_id = self.kinds.total()
-        if isinstance(made, decisions.RequestState):
-            asked = events.StateRequested(request_id=request_id, site=SITE)
-            (answer,) = peer.apply(asked, now_s=now_s)
+        if isinstance(decision, decisions.RequestState):
+            requested = events.StateRequested(request_id=request_id, site=SITE)
+            (answer,) = peer.apply(requested, now_s=now_s)
             if answer.in_force:
-                key = tuple(v.revision for v in answer.in_force)
+                key = tuple(version.revision for version in answer.in_force)
                 self._raise_floor(vm_id, node, key)
             return events.StateReceived(
-                vm_id=made.vm_id, held=answer.held, in_force=answer.in_force
+                vm_id=decision.vm_id,
+                held=answer.held,
+                in_force=answer.in_force,
             )
-        asked = events.DocumentRequested(
-            request_id=request_id, name=made.name, revision=made.revision
+        requested = events.DocumentRequested(
+            request_id=request_id,
+            name=decision.name,
+            revision=decision.revision,
         )
-        (answer,) = peer.apply(asked, now_s=now_s)
+        (answer,) = peer.apply(requested, now_s=now_s)
         if isinstance(answer, decisions.RefuseDocument):
             return None
         self.kinds['served'] += 1
-        self.most_serves = max(self.most_serves, len(peer._serves))
+        self.most_open_transfers = max(
+            self.most_open_transfers, len(peer._open_transfers)
+        )
         ended = events.ServeEnded(request_id=request_id)
         self.network.call_at(
             now_s + self.transfer_s, lambda: peer.apply(ended, now_s=now_s)
         )
         return events.DocumentFetched(
-            vm_id=made.vm_id,
+            vm_id=decision.vm_id,
             name=answer.name,
             revision=answer.revision,
             text=answer.text,
--- a/packages/savoryyoke/tests/propagation/test_spread.py
+++ b/packages/savoryyoke/tests/propagation/test_spread.py
@@ -1,4 +1,4 @@
-"""Test the spread of configuration among many processes."""
+"""Test the distribution of configuration among many processes."""
 
 import unittest
 
@@ -20,22 +20,22 @@
 )
 
 
-class TrustingThePlatform(aggregate.Propagation):
-    """Ask no peer at the start."""
+class WithoutPeerRequests(aggregate.Propagation):
+    """Request no state of peers at the start."""
 
-    def _ask_peers(self):
+    def _request_states(self):
         return []
 
 
-class WithoutAskingAgain(aggregate.Propagation):
-    """Ask no peer once the newest pair was refused."""
+class WithoutRepeatedRequests(aggregate.Propagation):
+    """Request no state of peers after the newest pair was refused."""
 
-    def _ask_again(self, now_s):
+    def _repeat_requests(self, now_s):
         return []
 
 
 class ReadingEverywhere(aggregate.Propagation):
-    """Let every process read the platform, as often as it ticks."""
+    """Read the platform on every tick of every process."""
 
     def _read_platform(self, now_s):
         self._reader.is_reader = True
@@ -59,12 +59,12 @@
 
 
 def kinds(fleet):
-    """Return the kinds of reports made."""
+    """Return the kinds of all reports."""
     return {report.kind for _, report in fleet.reports}
 
 
 class SpreadTestCase(unittest.TestCase):
-    """Offer the assertions that all cases share."""
+    """Provide the assertions that all cases share."""
 
     def assert_in_force(self, fleet, key):
         """Assert that all processes have these revisions in force."""
@@ -72,15 +72,15 @@
 
     def assert_never_reverted(self, fleet):
         """Assert that in no process a revision in force decreased."""
-        last = {}
+        last_by_node = {}
         for _, vm_id, node, key in fleet.applied:
-            before = last.get(node, (-1, -1))
-            self.assertGreaterEqual(key[0], before[0], vm_id)
-            self.assertGreaterEqual(key[1], before[1], vm_id)
-            last[node] = key
+            previous = last_by_node.get(node, (-1, -1))
+            self.assertGreaterEqual(key[0], previous[0], vm_id)
+            self.assertGreaterEqual(key[1], previous[1], vm_id)
+            last_by_node[node] = key
 
 
-class FleetOfTwoYearsOnTest(SpreadTestCase):
+class LargeFleetTest(SpreadTestCase):
     """Test 350 entries and 1,300 targets; seed 1."""
 
     def test_starts_and_changes_in_time_within_the_rate(self):
@@ -88,7 +88,7 @@
         self.assert_in_force(fleet, (1, 1))
         fleet.applied.clear()
         for number in (2, 3, 4):
-            # Goes out and back: revision 4 has the text of revision 1.
+            # Revision 4 has the same text as revision 1.
             text = 'base 1' if number == 4 else f'base {number}'
             fleet.platform.publish('base', number, text)
             fleet.network.run(fleet.network.now_s + 0.4)
@@ -135,7 +135,7 @@
 
 
 class PlatformFaultTest(SpreadTestCase):
-    """Test a platform that is down, stale or contradicts itself."""
+    """Test a platform that is down, stale or inconsistent."""
 
     def test_a_stale_replica_is_never_followed(self):
         fleet = start(seed=4)
@@ -177,23 +177,28 @@
         fleet = start(seed=7)
         fleet.reports.clear()
         node = fleet.nodes_by_id['target-2']
-        bad = [(2, None), (-1, 'x'), ('3', 'x'), (2, 'x' * 1_048_577)]
-        for revision, text in bad:
+        malformed_documents = [
+            (2, None),
+            (-1, 'x'),
+            ('3', 'x'),
+            (2, 'x' * 1_048_577),
+        ]
+        for revision, text in malformed_documents:
             event = spread.events.PlatformRead(
                 name='base', revision=revision, text=text
             )
             fleet.feed('target-2', node, event)
-        self.assertEqual(len(fleet.reports), len(bad))
+        self.assertEqual(len(fleet.reports), len(malformed_documents))
         self.assertEqual(kinds(fleet), {ReportKind.MALFORMED})
         fleet.network.run(20)
         self.assert_in_force(fleet, (1, 1))
 
 
 class InvalidRevisionTest(SpreadTestCase):
-    """Test revisions that are refused as a pair."""
+    """Test pairs of revisions that are refused."""
 
     def refuse_the_newest(self, kind=None):
-        """Cut one process off while a good and a bad revision come."""
+        """Isolate one process while a valid and an invalid base appear."""
         fleet = start(seed=8, kind=kind)
         net = fleet.network
         net.is_blocked = lambda *path: 'target-7' in path
@@ -224,8 +229,8 @@
         fleet.network.run(70)
         self.assert_in_force(fleet, (4, 2))
 
-    def test_catches_a_process_that_never_asks_again(self):
-        fleet = self.refuse_the_newest(kind=WithoutAskingAgain)
+    def test_catches_a_process_without_repeated_requests(self):
+        fleet = self.refuse_the_newest(kind=WithoutRepeatedRequests)
         self.assertEqual(fleet.nodes_by_id['target-7'].in_force, (1, 1))
 
 
@@ -243,12 +248,12 @@
         )
         call = fleet.platform.call
 
-        def call_unless_east(vm_id, made, answer):
-            # The replica that the eastern readers ask misses base 3.
+        def call_unless_east(vm_id, decision, answer):
+            # The replica that the eastern readers call does not have base 3.
             if vm_id in east and fleet.platform.documents['base'][0] == 3:
-                answer(spread.events.PlatformFailed(name=made.name))
+                answer(spread.events.PlatformFailed(name=decision.name))
             else:
-                call(vm_id, made, answer)
+                call(vm_id, decision, answer)
 
         fleet.platform.call = call_unless_east
         fleet.platform.publish('base', 2, 'base 2')
@@ -276,22 +281,22 @@
         self.assert_in_force(fleet, (6, 1))
         self.assert_never_reverted(fleet)
 
-    def test_no_process_serves_more_than_its_share(self):
+    def test_open_transfers_stay_within_the_limit(self):
         fleet = start(seed=11, entries=60, targets=240)
-        fleet.most_serves = 0
-        # Transfers that take long, as of a value near a megabyte.
+        fleet.most_open_transfers = 0
+        # Simulates the long transfer of a document of about a megabyte.
         fleet.transfer_s = 1.0
         fleet.platform.publish('base', 2, 'x' * 1_000_000)
         fleet.network.run(10 + IN_FORCE_LIMIT_S)
         self.assert_in_force(fleet, (2, 1))
-        self.assertLessEqual(fleet.most_serves, 4)
+        self.assertLessEqual(fleet.most_open_transfers, 4)
 
 
 class RestartTest(SpreadTestCase):
-    """Test what a restarted process puts into force first."""
+    """Test which pair a restarted process puts into force first."""
 
     def restart_beside_a_stale_platform(self, kind=None, transfer_s=0.05):
-        """Restart readers while the platform answers an older revision."""
+        """Restart readers while the platform returns an older revision."""
         fleet = start(seed=12, kind=kind)
         fleet.platform.stale = dict(fleet.platform.documents)
         fleet.platform.publish('base', 2, 'base 2')
@@ -299,14 +304,14 @@
         fleet.platform.stale_share = 1.0
         fleet.applied.clear()
         fleet.transfer_s = transfer_s
-        # No gossip reaches the restarted process, only what it asks for.
+        # No gossip reaches the restarted processes, only answers to requests.
         fleet.network.loss = 1.0
         for number in range(4):
             fleet.start(f'entry-{number}')
         fleet.network.run(40)
         return {key for _, _, _, key in fleet.applied}
 
-    def test_peers_know_better_than_a_stale_platform(self):
+    def test_peers_override_a_stale_platform(self):
         for transfer_s in (0.05, 2.8):
             with self.subTest(transfer_s=transfer_s):
                 applied = self.restart_beside_a_stale_platform(
@@ -314,14 +319,14 @@
                 )
                 self.assertEqual(applied, {(2, 1)})
 
-    def test_catches_a_process_that_asks_no_peer(self):
-        applied = self.restart_beside_a_stale_platform(TrustingThePlatform)
+    def test_catches_a_process_without_peer_requests(self):
+        applied = self.restart_beside_a_stale_platform(WithoutPeerRequests)
         self.assertIn((1, 1), applied)
 
     def test_catches_a_fleet_that_ignores_the_rate(self):
         fleet = start(seed=13, kind=ReadingEverywhere, until_s=3.0)
         calls = fleet.platform.calls_by_second
-        # 23 processes at this rate stand for 1,650 at 72 times as much.
+        # The rate of 23 processes is scaled to that of 1,650.
         self.assertGreater(
             max(calls.values()) * 1650 / 23, PLATFORM_LIMIT_PER_S
         )
@@ -362,7 +367,7 @@
 
 
 def step(fleet, kind, number):
-    """Do one thing to the fleet or the platform."""
+    """Apply one change to the fleet or the platform."""
     platform, net = fleet.platform, fleet.network
     vm_id = fleet.peers[number % len(fleet.peers)].vm_id
     if kind in ('base', 'bad', 'overlay'):
@@ -374,9 +379,9 @@
     elif kind == 'pause':
         net.pause(vm_id, 5.0)
     elif kind == 'cut':
-        side = {peer.vm_id for peer in fleet.peers[: number % 11 + 1]}
+        isolated_ids = {peer.vm_id for peer in fleet.peers[: number % 11 + 1]}
         net.is_blocked = lambda source, destination: (
-            (source in side) != (destination in side)
+            (source in isolated_ids) != (destination in isolated_ids)
         )
     elif kind == 'heal':
         net.is_blocked = lambda source, destination: False
