--- a/packages/savoryyoke-edge/savoryyoke_edge/control/judge.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/judge.py
@@ -5,7 +5,7 @@
 
 from savoryyoke.configuration import documents
 from savoryyoke.configuration import schema
-from savoryyoke.propagation import judgements
+from savoryyoke.propagation import validation
 
 KEPT = 4
 
@@ -33,15 +33,15 @@
         self._configurations_by_digest = collections.OrderedDict()
 
     def __call__(self, base_text, overlay_text):
-        """Return ``judgements.Accepted`` or ``judgements.Refused``."""
+        """Return ``validation.Accepted`` or ``validation.Refused``."""
         outcome = documents.build(base_text, overlay_text)
         if isinstance(outcome, documents.Refused):
             faults = tuple(str(fault) for fault in outcome.faults)
-            return judgements.Refused(faults=faults)
+            return validation.Refused(faults=faults)
         self._configurations_by_digest[outcome.digest] = outcome.configuration
         while len(self._configurations_by_digest) > KEPT:
             self._configurations_by_digest.popitem(last=False)
-        return judgements.Accepted(digest=outcome.digest)
+        return validation.Accepted(digest=outcome.digest)
 
     def build_applied(self, decision):
         """Return the ``AppliedConfiguration`` of a decision to apply."""
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/plane.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/plane.py
@@ -137,7 +137,7 @@
             data_centre=self._settings.data_centre,
             site=self._settings.site,
             sites=(self._settings.site,),
-            judge=self._judge,
+            validate=self._judge,
         )
 
     def start_leaving(self):
--- a/packages/savoryyoke-edge/savoryyoke_edge/control/spread.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/spread.py
@@ -136,7 +136,7 @@
         try:
             value = await self._reader.read_value(
                 decision.name,
-                after_revision=max(0, decision.wait_revision),
+                after_revision=max(0, decision.after_revision),
                 wait_s=decision.timeout_s,
             )
         except exceptions.PlatformUnavailable as error:
--- a/packages/savoryyoke/savoryyoke/propagation/aggregate.py
+++ b/packages/savoryyoke/savoryyoke/propagation/aggregate.py
@@ -8,7 +8,7 @@
 from savoryyoke.propagation import events
 from savoryyoke.propagation import exceptions
 from savoryyoke.propagation import fetches
-from savoryyoke.propagation import force
+from savoryyoke.propagation import pair_in_force
 from savoryyoke.propagation import platform_reads
 from savoryyoke.propagation import startup
 
@@ -19,9 +19,9 @@
     """Hold the documents of one process and decide which are in force.
 
     Every process holds the base and the overlays of all ``sites``, and puts
-    the base and the overlay of its own ``site`` into force. ``judge`` is a
-    function of the texts of a base and an overlay that returns
-    ``judgements.Accepted`` or ``judgements.Refused``; it must return the same
+    the base and the overlay of its own ``site`` into force. ``validate``
+    is a function of the texts of a base and an overlay that returns
+    ``validation.Accepted`` or ``validation.Refused``; it must return the same
     in every process.
     """
 
@@ -33,7 +33,7 @@
         data_centre,
         site,
         sites,
-        judge,
+        validate,
         settings=conf.DEFAULTS,
     ):
         self._vm_id = vm_id
@@ -44,7 +44,9 @@
         names = tuple(dict.fromkeys((*own_names, *all_names)))
         self._own_names = own_names
         self._store = documents.DocumentStore(names=names)
-        self._force = force.ForceKeeper(site=site, judge=judge)
+        self._pair_in_force = pair_in_force.PairInForce(
+            site=site, validate=validate
+        )
         self._reader = platform_reads.PlatformReader(
             vm_id=vm_id, role=role, data_centre=data_centre, settings=settings
         )
@@ -62,12 +64,12 @@
     @property
     def is_ready(self):
         """Return whether a configuration is in force."""
-        return self._force.pair is not None
+        return self._pair_in_force.pair is not None
 
     @property
     def in_force(self):
         """Return the revisions in force, or (-1, -1)."""
-        return self._force.revisions
+        return self._pair_in_force.revisions
 
     @property
     def seen(self):
@@ -123,7 +125,7 @@
 
     @apply.register
     def _(self, event: events.StateRequested, *, now_s):
-        pair = self._force.pair
+        pair = self._pair_in_force.pair
         has_state = pair is not None and event.site == self._site
         return (
             decisions.AnswerState(
@@ -213,7 +215,7 @@
         # Peers may have put an older pair into force that this process never
         # received, before they refused the newest one.
         revisions = self._newest_revisions()
-        is_newest_refused = self._force.is_refused(revisions)
+        is_newest_refused = self._pair_in_force.is_refused(revisions)
         if (
             not is_newest_refused
             or not self._peers
@@ -324,11 +326,14 @@
         return tuple(version.revision for version in versions)
 
     def _compare_in_force(self, event, revisions, now_s):
-        if self._force.diverges(revisions) and self._force.pair is not None:
+        if (
+            self._pair_in_force.diverges(revisions)
+            and self._pair_in_force.pair is not None
+        ):
             return [
                 _report(ReportKind.DIVERGED, event.in_force[1], event.vm_id)
             ]
-        if not self._force.is_newer(revisions):
+        if not self._pair_in_force.is_newer(revisions):
             return []
         if (
             self._offered_versions is None
@@ -366,14 +371,16 @@
 
     def _may_apply(self, revisions, now_s):
         return (
-            self._force.is_newer(revisions)
-            and not self._force.is_refused(revisions)
+            self._pair_in_force.is_newer(revisions)
+            and not self._pair_in_force.is_refused(revisions)
             and self._startup.may_apply(revisions, now_s=now_s)
         )
 
     def _apply_pair(self, pair):
         is_confirmed = self._startup.is_complete or self._startup.is_confirmed
-        decision = self._force.apply_pair(pair, is_confirmed=is_confirmed)
+        decision = self._pair_in_force.apply_pair(
+            pair, is_confirmed=is_confirmed
+        )
         if not isinstance(decision, decisions.Apply):
             return [decision]
         self._startup.is_complete = True
--- a/packages/savoryyoke/savoryyoke/propagation/decisions.py
+++ b/packages/savoryyoke/savoryyoke/propagation/decisions.py
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReadPlatform:
-    """Read a document of the platform above ``wait_revision``.
+    """Read a document of the platform above ``after_revision``.
 
     The call waits for such a revision. The owner reports ``PlatformRead``,
     ``PlatformUnchanged`` if there is none within ``timeout_s``, or
@@ -28,7 +28,7 @@
     """
 
     name: str
-    wait_revision: int
+    after_revision: int
     timeout_s: float
 
 
--- a/packages/savoryyoke/savoryyoke/propagation/force.py
+++ b/packages/savoryyoke/savoryyoke/propagation/pair_in_force.py
@@ -2,22 +2,22 @@
 
 from savoryyoke.propagation import decisions
 from savoryyoke.propagation import documents
-from savoryyoke.propagation import judgements
+from savoryyoke.propagation import validation
 
 REFUSED_PAIR_LIMIT = 256
 
 
-class ForceKeeper:
+class PairInForce:
     """Hold the pair in force at a site and the refused pairs.
 
-    Neither revision of the pair in force ever decreases. ``judge`` is a
+    Neither revision of the pair in force ever decreases. ``validate`` is a
     function of the texts of a base and an overlay that returns ``Accepted``
     or ``Refused``.
     """
 
-    def __init__(self, *, site, judge):
+    def __init__(self, *, site, validate):
         self._overlay_name = documents.overlay_name(site)
-        self._judge = judge
+        self._validate = validate
         self._refused_revisions = {}
         self.pair = None
         self.digest = None
@@ -57,11 +57,11 @@
 
     def apply_pair(self, pair, *, is_confirmed):
         """Validate a pair; return ``Apply``, or a ``Report`` of its faults."""
-        verdict = self._judge(pair.base.text, pair.overlay.text)
-        if isinstance(verdict, judgements.Refused):
-            return self._refuse(pair, verdict)
+        result = self._validate(pair.base.text, pair.overlay.text)
+        if isinstance(result, validation.Refused):
+            return self._refuse(pair, result)
         self.pair = pair
-        self.digest = verdict.digest
+        self.digest = result.digest
         self._refused_revisions = {
             revisions: None
             for revisions in self._refused_revisions
@@ -72,11 +72,11 @@
             overlay_revision=pair.overlay.revision,
             base_text=pair.base.text,
             overlay_text=pair.overlay.text,
-            digest=verdict.digest,
+            digest=result.digest,
             is_confirmed=is_confirmed,
         )
 
-    def _refuse(self, pair, verdict):
+    def _refuse(self, pair, result):
         self._refused_revisions[pair.revisions()] = None
         while len(self._refused_revisions) > REFUSED_PAIR_LIMIT:
             del self._refused_revisions[next(iter(self._refused_revisions))]
@@ -84,5 +84,5 @@
             kind=decisions.ReportKind.REFUSED,
             name=self._overlay_name,
             revision=pair.overlay.revision,
-            detail=f'base={pair.base.revision} faults={verdict.faults}',
+            detail=f'base={pair.base.revision} faults={result.faults}',
         )
--- a/packages/savoryyoke/savoryyoke/propagation/platform_reads.py
+++ b/packages/savoryyoke/savoryyoke/propagation/platform_reads.py
@@ -90,7 +90,7 @@
         )
         return decisions.ReadPlatform(
             name=name,
-            wait_revision=store.newest_revision(name),
+            after_revision=store.newest_revision(name),
             timeout_s=timeout_s,
         )
 
--- a/packages/savoryyoke/tests/propagation/spread.py
+++ b/packages/savoryyoke/tests/propagation/spread.py
@@ -7,7 +7,7 @@
 from savoryyoke.propagation import decisions
 from savoryyoke.propagation import documents
 from savoryyoke.propagation import events
-from savoryyoke.propagation import judgements
+from savoryyoke.propagation import validation
 
 SITE = 'north'
 TICK_S = 0.25
@@ -16,12 +16,12 @@
 OVERLAY = documents.overlay_name(SITE)
 
 
-def judge(base_text, overlay_text):
+def validate(base_text, overlay_text):
     """Refuse texts that contain ``bad``."""
     text = f'{base_text}|{overlay_text}'
     if 'bad' in text:
-        return judgements.Refused(faults=(text,))
-    return judgements.Accepted(digest=text)
+        return validation.Refused(faults=(text,))
+    return validation.Accepted(digest=text)
 
 
 class Platform:
@@ -55,7 +55,7 @@
             self._reply(answer, events.PlatformFailed(name=call.name))
         elif self.network.random.random() < self.stale_share:
             self._answer(call, answer, self.stale)
-        elif self._revision(call.name, self.documents) > call.wait_revision:
+        elif self._revision(call.name, self.documents) > call.after_revision:
             self._answer(call, answer, self.documents)
         else:
             self._watch(vm_id, call, answer)
@@ -127,7 +127,7 @@
             data_centre=peer.data_centre,
             site=SITE,
             sites=(SITE,),
-            judge=judge,
+            validate=validate,
         )
         self.nodes_by_id[vm_id] = node
         self.versions_by_id[vm_id] = ((), 0)
