--- a/packages/savoryyoke-edge/savoryyoke_edge/control/plane.py
+++ b/packages/savoryyoke-edge/savoryyoke_edge/control/plane.py
@@ -144,7 +144,7 @@
             data_centre=self._settings.data_centre,
             site=self._settings.site,
             sites=(self._settings.site,),
-            judge=self._validator,
+            validate=self._validator,
         )
 
     def start_leaving(self):
