--- a/packages/savoryyoke/savoryyoke/membership/conf.py
+++ b/packages/savoryyoke/savoryyoke/membership/conf.py
@@ -16,7 +16,8 @@
     local health score, which is at most ``health_limit``. The process becomes
     suspect after more than ``tick_gap_s`` between two of its ticks, or after
     more than ``silence_s`` without an acknowledgement, and remains so until
-    ``confirmation_count`` distinct members have answered.
+    ``confirmation_count`` distinct members, or all reachable ones if there are
+    fewer, have answered.
     """
 
     tick_s: float = 0.25
@@ -24,12 +25,14 @@
     relay_timeout_s: float = 0.2
     probe_timeout_s: float = 0.9
     relay_count: int = 3
+    # Number of next members on the hash ring that are probed in rotation.
     fixed_subjects: int = 2
     suspicion_s: float = 1.5
     health_limit: int = 4
     tick_gap_s: float = 1.0
     silence_s: float = 1.5
     confirmation_count: int = 2
+    # Random members that are probed after a pause, besides the suspected ones.
     refresh_probes: int = 4
     # Each update is sent on this factor times log2(members) messages.
     retransmit_factor: float = 1.5
@@ -41,8 +44,8 @@
     # additional probes.
     burst_updates: int = 24
     burst_probes: int = 1
-    # Answers to a joining member list at most so many answering members, and
-    # as many that failed or left.
+    # Maximum number of answering members, and of members that failed or left,
+    # in an answer to a joining member.
     joining_sample: int = 8
     # Number of messages that carry the summary after it changed or after a
     # peer showed other versions.
--- a/packages/savoryyoke/savoryyoke/membership/exceptions.py
+++ b/packages/savoryyoke/savoryyoke/membership/exceptions.py
@@ -14,7 +14,10 @@
 
 
 class SummaryTooLarge(MembershipError):
-    """Report too many versions or too many bytes of attachments."""
+    """Report too many versions or too large attachments.
+
+    ``size`` and ``limit`` count versions, or bytes of attachments.
+    """
 
     def __init__(self, *, size, limit):
         super().__init__(f'summary of {size} exceeds its limit of {limit}')
--- a/packages/savoryyoke/savoryyoke/membership/messages.py
+++ b/packages/savoryyoke/savoryyoke/membership/messages.py
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Attachment:
-    """Carry an opaque payload of another component."""
+    """Carry an opaque payload of another component, limited in size."""
 
     name: str
     content: bytes
--- a/packages/savoryyoke/savoryyoke/membership/probes.py
+++ b/packages/savoryyoke/savoryyoke/membership/probes.py
@@ -89,7 +89,7 @@
         Return pairs of the probe and of whether relays were requested but
         none reported, which indicates a fault of this process.
         """
-        overdue = [
+        overdue_sequences = [
             sequence
             for sequence, probe in self._probes.items()
             if probe.sent_s < sent_before_s
@@ -99,7 +99,7 @@
                 self._probes.pop(sequence),
                 self._relay_report_counts.pop(sequence, None) == 0,
             )
-            for sequence in overdue
+            for sequence in overdue_sequences
         ]
 
     def find_unrelayed(self, *, sent_before_s):
@@ -116,12 +116,12 @@
 
     def remove_overdue_relays(self, *, sent_before_s):
         """Remove and return the relayed probes sent before a time."""
-        overdue = [
+        overdue_sequences = [
             sequence
             for sequence, relay in self._relays.items()
             if relay.sent_s < sent_before_s
         ]
-        return [self._relays.pop(sequence) for sequence in overdue]
+        return [self._relays.pop(sequence) for sequence in overdue_sequences]
 
     def clear(self):
         """Remove all open probes, so that late answers are ignored."""
--- a/packages/savoryyoke/savoryyoke/propagation/startup.py
+++ b/packages/savoryyoke/savoryyoke/propagation/startup.py
@@ -41,11 +41,11 @@
         if self.is_complete:
             return ()
         limit = self._settings.startup_peer_count
-        pending = len(
+        pending_count = len(
             self._requested_ids - self._answered_ids - self._failed_ids
         )
         count = min(
-            limit - pending - self._useful_answer_count,
+            limit - pending_count - self._useful_answer_count,
             self._settings.startup_peer_limit - len(self._requested_ids),
         )
         if count <= 0:
@@ -55,12 +55,12 @@
             for peer in self._sample(peers)
             if peer.vm_id not in self._requested_ids
         ]
-        chosen = [
+        chosen_ids = [
             peer.vm_id
             for peer in self._interleave_data_centres(candidates)[:count]
         ]
-        self._requested_ids.update(chosen)
-        return chosen
+        self._requested_ids.update(chosen_ids)
+        return chosen_ids
 
     def record_answer(self, vm_id, revisions):
         """Record an answer; ``revisions`` is None if nothing is in force."""
@@ -82,8 +82,10 @@
         elapsed_s = now_s - self._started_s
         if elapsed_s < self._settings.answer_wait_minimum_s:
             return True
-        pending = self._requested_ids - self._answered_ids - self._failed_ids
-        has_all_answers = self.is_confirmed and not pending
+        pending_ids = (
+            self._requested_ids - self._answered_ids - self._failed_ids
+        )
+        has_all_answers = self.is_confirmed and not pending_ids
         return (
             not has_all_answers
             and elapsed_s < self._settings.answer_wait_limit_s
@@ -107,7 +109,7 @@
         return now_s - self._started_s >= self._settings.catch_up_s
 
     def needs_platform(self, *, now_s):
-        """Return whether to read the platform for lack of answers of peers."""
+        """Return whether to read the platform without help from peers."""
         if self.is_complete or self._started_s is None:
             return False
         wait_s = self._settings.fallback_s
