--- a/packages/savoryyoke-wire/savoryyoke_wire/__init__.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned protocol between the processes of savoryyoke."""
+"""Encode and decode the versioned messages between savoryyoke processes."""
--- a/packages/savoryyoke-wire/savoryyoke_wire/codec.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/codec.py
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Structure:
-    """Say how the items of a list of structures are read and written."""
+    """Describe how the items of a list field are encoded and decoded."""
 
     item_class: type
     limit: int
@@ -36,7 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Plan:
-    """Say how the fields of one message class are read and written."""
+    """Describe how the fields of one message class are encoded and decoded.
+
+    Each field is a pair of its names in Python and in the schema.
+    """
 
     message_class: type
     member: str
@@ -105,7 +108,7 @@
 def encode(message):
     """Return the packed bytes of ``message``.
 
-    Raise ``LimitExceeded`` where they are longer than a frame may be.
+    Raise ``LimitExceeded`` if they exceed ``FRAME_LIMIT_BYTES``.
     """
     plan = _PLANS_BY_CLASS[type(message)]
     envelope = _SCHEMA.Envelope.new_message()
@@ -119,7 +122,7 @@
     packed = envelope.to_bytes_packed()
     if len(packed) > conf.FRAME_LIMIT_BYTES:
         raise exceptions.LimitExceeded(
-            f'{plan.member} takes {len(packed)} bytes,'
+            f'{plan.member} has {len(packed)} bytes,'
             f' the limit is {conf.FRAME_LIMIT_BYTES}'
         )
     return packed
@@ -136,12 +139,15 @@
 
 
 def decode(packed):
-    """Return the message in ``packed``, or None where it is of a later kind.
+    """Return the message in ``packed``.
 
-    Raise ``MalformedMessage`` or ``LimitExceeded`` for anything else.
+    Return None for a type of message that a later version has added. Raise
+    ``MalformedMessage`` or ``LimitExceeded`` for other invalid bytes.
     """
     if len(packed) > conf.FRAME_LIMIT_BYTES:
-        raise exceptions.LimitExceeded(f'frame of {len(packed)} bytes')
+        raise exceptions.LimitExceeded(
+            f'frame of {len(packed)} bytes is too long'
+        )
     try:
         envelope = _SCHEMA.Envelope.from_bytes_packed(
             packed, traversal_limit_in_words=conf.UNPACKED_LIMIT_WORDS
@@ -156,9 +162,9 @@
 
 
 def _read_member(envelope):
-    """Return the union's member, or None for one added after this version.
+    """Return the name of the union's member; None if it is unknown.
 
-    The library reports a member that the schema lacks as a non-union type.
+    pycapnp reports a member that the schema lacks as a non-union type.
     """
     try:
         member = str(envelope.which())
@@ -182,13 +188,17 @@
 
 def _check_text(name, text):
     if len(text) > conf.TEXT_LIMIT_BYTES:
-        raise exceptions.LimitExceeded(f'{name} holds {len(text)} characters')
+        raise exceptions.LimitExceeded(
+            f'{name} of {len(text)} characters is too long'
+        )
     return text
 
 
 def _read_items(name, items, structure):
     if len(items) > structure.limit:
-        raise exceptions.LimitExceeded(f'{name} holds {len(items)} items')
+        raise exceptions.LimitExceeded(
+            f'{name} of {len(items)} items is too long'
+        )
     return tuple(_read_item(item, structure) for item in items)
 
 
@@ -206,5 +216,5 @@
 
 @functools.cache
 def get_union_members():
-    """Return the names of the schema's messages, for checks in tests."""
+    """Return the member names of the schema's envelope, for tests."""
     return tuple(_SCHEMA.Envelope.schema.fields)
--- a/packages/savoryyoke-wire/savoryyoke_wire/conf.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/conf.py
@@ -1,7 +1,9 @@
-"""Limits and versions of the protocol, the one place for its defaults."""
+"""Define the versions, limits and refusal reasons of the protocol."""
 
+# Versions of ``protocol.capnp`` that this process supports.
 VERSION_LOW = 1
 VERSION_HIGH = 1
+# First bytes of each stream connection.
 PREFACE = b'SYK\x01'
 
 FRAME_LENGTH_BYTES = 4
@@ -13,28 +15,32 @@
 CRASH_REPORTS_LIMIT = 16
 CRASH_DIGEST_BYTES = 8
 
+# Version of the membership datagrams.
 GOSSIP_VERSION = 1
 DATAGRAM_LIMIT_BYTES = 8 * 1024
 
-# A longer message travels in parts; the rest of a datagram is for its frame.
+# Content of one part of a long message. The 128 bytes leave room in the
+# datagram for the other fields of ``MessagePart``.
 PART_BYTES = 8 * 1024 - 128
-# The map of 1,300 ranks with 16 sets and 8 places takes 350 KB.
+# An expert map of 1,300 ranks, 16 sets and 8 experts per rank takes 350 KB.
 MESSAGE_LIMIT_BYTES = 512 * 1024
-# What one process holds of messages that are not whole yet.
+# Incomplete messages that one process stores.
 ASSEMBLIES_LIMIT = 32
-# Parts of a message leave within a second on the narrowest link.
+# On the slowest link, all parts of a message are sent within one second.
 ASSEMBLY_TIMEOUT_S = 3.0
-# Counts of so many experts share a width, so that one that is chosen often
-# widens few others.
-COUNTS_CHUNK = 64
+# Number of experts whose counts are encoded with the same number of bytes. The
+# chunks are small so that a high count makes only a few others longer.
+COUNTS_PER_CHUNK = 64
 
-# Reasons of refusals that the entry acts on.
+# Values of ``Refusal.reason`` that change what the entry does next.
 QUARANTINED_REASON = 'quarantined'
 DATA_CENTRE_OUT_REASON = 'data_centre_out'
 ISOLATING_REASON = 'isolating'
 SAME_REQUEST_REASON = 'isolating-same-request'
 
-# Heartbeats and copies of published values between entries.
+# Version of the heartbeats and snapshots that entries exchange.
 FLEET_VERSION = 1
 SNAPSHOT_LIMIT_BYTES = 8 * 1024 * 1024
+
+# Version of the messages between the agents of a group's ranks.
 GROUP_VERSION = 3
--- a/packages/savoryyoke-wire/savoryyoke_wire/exceptions.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/exceptions.py
@@ -1,8 +1,8 @@
-"""Errors of the protocol layer."""
+"""Define the exceptions of the protocol layer."""
 
 
 class WireError(Exception):
-    """Describe a fault of the protocol; the base of this layer's errors."""
+    """Serve as the base class of all errors of the protocol layer."""
 
 
 class MalformedMessage(WireError):
--- a/packages/savoryyoke-wire/savoryyoke_wire/fleet.capnp
+++ b/packages/savoryyoke-wire/savoryyoke_wire/fleet.capnp
@@ -1,5 +1,5 @@
 @0xd1c9a27be58f4406;
-# What entries tell each other: heartbeats, and copies of published values.
+# Messages between entries: heartbeats, and snapshots of published values.
 
 struct InFlight {
   targetId @0 :Text;
--- a/packages/savoryyoke-wire/savoryyoke_wire/fleet.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/fleet.py
@@ -1,4 +1,4 @@
-"""Translate what entries tell each other to bytes and back."""
+"""Encode and decode the heartbeats and snapshots that entries exchange."""
 
 import pathlib
 
@@ -17,9 +17,9 @@
 
 
 def encode_heartbeat(heartbeat):
-    """Return the datagram of a heartbeat.
+    """Return the packed datagram of a heartbeat.
 
-    Raise ``LimitExceeded`` where it is too large for one datagram.
+    Raise ``LimitExceeded`` if it exceeds ``DATAGRAM_LIMIT_BYTES``.
     """
     message = _SCHEMA.Heartbeat.new_message(
         version=conf.FLEET_VERSION,
@@ -57,7 +57,9 @@
         item.remainingS = report.remaining_s
     packed = message.to_bytes_packed()
     if len(packed) > conf.DATAGRAM_LIMIT_BYTES:
-        raise exceptions.LimitExceeded(f'datagram of {len(packed)} bytes')
+        raise exceptions.LimitExceeded(
+            f'datagram of {len(packed)} bytes is too long'
+        )
     return packed
 
 
@@ -67,7 +69,9 @@
     Raise ``MalformedMessage``, ``LimitExceeded`` or ``VersionMismatch``.
     """
     if len(packed) > conf.DATAGRAM_LIMIT_BYTES:
-        raise exceptions.LimitExceeded(f'datagram of {len(packed)} bytes')
+        raise exceptions.LimitExceeded(
+            f'datagram of {len(packed)} bytes is too long'
+        )
     message = _read(_SCHEMA.Heartbeat, packed)
     try:
         return messages.Heartbeat(
@@ -81,44 +85,46 @@
             is_leaving=message.isLeaving,
             published_as_of=message.publishedAsOf,
             in_flight=tuple(
-                messages.InFlight(target_id=x.targetId, requests=x.requests)
-                for x in message.inFlight
+                messages.InFlight(
+                    target_id=count.targetId, requests=count.requests
+                )
+                for count in message.inFlight
             ),
             contact_hosts=tuple(message.contactHosts),
             slow_targets=tuple(
-                messages.SlowTarget(address=x.address, pace=x.pace)
-                for x in message.slowTargets
+                messages.SlowTarget(address=target.address, pace=target.pace)
+                for target in message.slowTargets
             ),
             leaving_targets=tuple(
                 notices.LeavingTarget(
-                    target_id=x.targetId,
-                    incarnation=x.incarnation,
-                    age_s=x.ageS,
+                    target_id=target.targetId,
+                    incarnation=target.incarnation,
+                    age_s=target.ageS,
                 )
-                for x in message.leavingTargets
+                for target in message.leavingTargets
             ),
             evidence_digest=message.evidenceDigest,
-            crashes=tuple(_read_crash(x) for x in message.crashes),
+            crashes=tuple(_read_crash(report) for report in message.crashes),
         )
     except (capnp.KjException, UnicodeDecodeError) as error:
-        raise _malformed(error) from error
+        raise _build_malformed_error(error) from error
 
 
 def encode_snapshot(snapshot):
-    """Return the bytes of a copy of the published values."""
+    """Return the packed bytes of a snapshot of the published values."""
     message = _SCHEMA.Snapshot.new_message(
         version=conf.FLEET_VERSION, asOf=snapshot.as_of
     )
     items = message.init('items', len(snapshot.items))
-    for item, known in zip(items, snapshot.items, strict=True):
-        item.key = known.key
-        item.revision = known.revision
-        item.value = known.value
+    for item, published in zip(items, snapshot.items, strict=True):
+        item.key = published.key
+        item.revision = published.revision
+        item.value = published.value
     return message.to_bytes_packed()
 
 
 def decode_snapshot(packed):
-    """Return the copy of the published values in ``packed``.
+    """Return the snapshot of the published values in ``packed``.
 
     Raise ``MalformedMessage`` or ``VersionMismatch``.
     """
@@ -127,20 +133,26 @@
         return models.Snapshot(
             as_of=message.asOf,
             items=tuple(
-                models.Item(key=x.key, revision=x.revision, value=x.value)
-                for x in message.items
+                models.Item(
+                    key=item.key, revision=item.revision, value=item.value
+                )
+                for item in message.items
             ),
         )
     except (capnp.KjException, UnicodeDecodeError) as error:
-        raise _malformed(error) from error
+        raise _build_malformed_error(error) from error
 
 
 def _read_crash(message):
     return evidence.CrashReport(
         crash_id=message.crashId,
         release=message.release,
-        fingerprints=frozenset(bytes(x) for x in message.fingerprints),
-        cleared=frozenset(bytes(x) for x in message.cleared),
+        fingerprints=frozenset(
+            bytes(fingerprint) for fingerprint in message.fingerprints
+        ),
+        cleared=frozenset(
+            bytes(fingerprint) for fingerprint in message.cleared
+        ),
         remaining_s=message.remainingS,
     )
 
@@ -152,12 +164,12 @@
         )
         version = message.version
     except (capnp.KjException, ValueError) as error:
-        raise _malformed(error) from error
+        raise _build_malformed_error(error) from error
     if version != conf.FLEET_VERSION:
-        raise exceptions.VersionMismatch(f'version {version}')
+        raise exceptions.VersionMismatch(f'unsupported version {version}')
     return message
 
 
-def _malformed(error):
+def _build_malformed_error(error):
     summary = str(error).partition('\n')[0]
     return exceptions.MalformedMessage(summary)
--- a/packages/savoryyoke-wire/savoryyoke_wire/frames.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/frames.py
@@ -5,29 +5,29 @@
 
 
 def build_frame(packed):
-    """Return ``packed`` behind its length as a big-endian 32-bit number."""
+    """Return ``packed`` with its length, 32 bits big-endian, in front."""
     return len(packed).to_bytes(conf.FRAME_LENGTH_BYTES, 'big') + packed
 
 
 class FrameSplitter:
-    """Collect received bytes and hand out whole frames.
+    """Buffer received bytes and split them into complete frames.
 
-    It holds at most one frame and what was received with it.
+    The buffer holds at most one incomplete frame between calls.
     """
 
     def __init__(self, *, limit_bytes=conf.FRAME_LIMIT_BYTES):
         self._limit_bytes = limit_bytes
         self._buffer = bytearray()
-        self._preface_seen = False
+        self._is_preface_removed = False
 
     def feed(self, data):
-        """Take received bytes and return the frames that they complete.
+        """Add received bytes and return the frames that they complete.
 
-        Raise ``MalformedMessage`` where the stream does not start with the
-        protocol's preface, and ``LimitExceeded`` for a frame over the limit.
+        Raise ``MalformedMessage`` if the stream does not start with
+        ``conf.PREFACE``, and ``LimitExceeded`` for a frame over the limit.
         """
         self._buffer += data
-        if not self._preface_seen and not self._take_preface():
+        if not self._is_preface_removed and not self._remove_preface():
             return []
         frames = []
         position = 0
@@ -41,14 +41,16 @@
         del self._buffer[:position]
         return frames
 
-    def _take_preface(self):
+    def _remove_preface(self):
         length = len(conf.PREFACE)
         if not conf.PREFACE.startswith(bytes(self._buffer[:length])):
-            raise exceptions.MalformedMessage('the preface is missing')
+            raise exceptions.MalformedMessage(
+                'the stream does not start with the protocol preface'
+            )
         if len(self._buffer) < length:
             return False
         del self._buffer[:length]
-        self._preface_seen = True
+        self._is_preface_removed = True
         return True
 
     def _find_frame_end(self, position):
@@ -57,7 +59,9 @@
             return None
         length = int.from_bytes(self._buffer[position:start], 'big')
         if length > self._limit_bytes:
-            raise exceptions.LimitExceeded(f'frame of {length} bytes')
+            raise exceptions.LimitExceeded(
+                f'frame of {length} bytes is too long'
+            )
         if len(self._buffer) < start + length:
             return None
         return start + length
--- a/packages/savoryyoke-wire/savoryyoke_wire/gossip.capnp
+++ b/packages/savoryyoke-wire/savoryyoke_wire/gossip.capnp
@@ -1,5 +1,5 @@
 @0xb3f0c2d49a1e6f57;
-# Datagrams between all processes: membership and what travels with it.
+# Membership datagrams between all processes, and the data attached to them.
 
 enum Kind {
   ping @0;
--- a/packages/savoryyoke-wire/savoryyoke_wire/gossip.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/gossip.py
@@ -1,4 +1,4 @@
-"""Translate membership's messages to datagrams and back."""
+"""Encode and decode the datagrams of the membership protocol."""
 
 import pathlib
 
@@ -19,9 +19,9 @@
 
 
 def encode(message):
-    """Return the datagram of a message of membership.
+    """Return the packed datagram of a membership message.
 
-    Raise ``LimitExceeded`` where it is too large for one datagram.
+    Raise ``LimitExceeded`` if it exceeds ``DATAGRAM_LIMIT_BYTES``.
     """
     datagram = _SCHEMA.Datagram.new_message(
         version=conf.GOSSIP_VERSION,
@@ -39,7 +39,9 @@
     _write_kind(datagram, message)
     packed = datagram.to_bytes_packed()
     if len(packed) > conf.DATAGRAM_LIMIT_BYTES:
-        raise exceptions.LimitExceeded(f'datagram of {len(packed)} bytes')
+        raise exceptions.LimitExceeded(
+            f'datagram of {len(packed)} bytes is too long'
+        )
     return packed
 
 
@@ -83,18 +85,20 @@
 
 
 def decode(packed):
-    """Return the message in a datagram.
+    """Return the membership message in a packed datagram.
 
     Raise ``MalformedMessage``, ``LimitExceeded`` or ``VersionMismatch``.
     """
     if len(packed) > conf.DATAGRAM_LIMIT_BYTES:
-        raise exceptions.LimitExceeded(f'datagram of {len(packed)} bytes')
+        raise exceptions.LimitExceeded(
+            f'datagram of {len(packed)} bytes is too long'
+        )
     try:
         datagram = _SCHEMA.Datagram.from_bytes_packed(
             packed, traversal_limit_in_words=conf.UNPACKED_LIMIT_WORDS
         )
         if not datagram.version:
-            raise exceptions.VersionMismatch('datagram without a version')
+            raise exceptions.VersionMismatch('the datagram has no version')
         return _read(datagram)
     except (capnp.KjException, UnicodeDecodeError, ValueError) as error:
         summary = str(error).partition('\n')[0]
@@ -109,11 +113,13 @@
         'sender_state': messages.MemberState(datagram.senderState),
         'sequence': datagram.sequence,
         'versions_digest': datagram.versionsDigest,
-        'versions': tuple(_read_version(x) for x in datagram.versions),
+        'versions': tuple(
+            _read_version(version) for version in datagram.versions
+        ),
         'attachments': tuple(
-            _read_attachment(x) for x in datagram.attachments
+            _read_attachment(attachment) for attachment in datagram.attachments
         ),
-        'updates': tuple(_read_update(x) for x in datagram.updates),
+        'updates': tuple(_read_update(update) for update in datagram.updates),
     }
     match str(datagram.kind):
         case 'ping':
@@ -130,7 +136,7 @@
                 reached=datagram.reached,
                 **common,
             )
-    raise exceptions.MalformedMessage('unknown kind')
+    raise exceptions.MalformedMessage('the datagram is of an unknown kind')
 
 
 def _read_version(item):
--- a/packages/savoryyoke-wire/savoryyoke_wire/group.capnp
+++ b/packages/savoryyoke-wire/savoryyoke_wire/group.capnp
@@ -1,11 +1,11 @@
 @0xa8f3c6d1925be047;
-# What the agents of a group's ranks tell each other.
+# Messages between the agents of a group's ranks, and from them to entries.
 
 struct Rank {
   experts @0 :List(UInt16);
 }
 
-# The experts of all ranks in one list, and how many each rank has.
+# The experts of all ranks in one list, and the number of experts per rank.
 struct Set {
   counts @0 :Data;
   experts @1 :List(UInt16);
@@ -54,7 +54,7 @@
   pace @13 :Float32;
 }
 
-# Counts as little-endian numbers of one width.
+# Counts as little-endian numbers of bytesEach bytes.
 struct Counts {
   bytesEach @0 :UInt8;
   values @1 :Data;
--- a/packages/savoryyoke-wire/savoryyoke_wire/group.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/group.py
@@ -1,4 +1,4 @@
-"""Translate what the agents of a group tell each other to bytes and back."""
+"""Encode and decode the messages between the agents of a group."""
 
 import dataclasses
 import functools
@@ -15,16 +15,16 @@
 _SCHEMA = capnp.load(
     str(pathlib.Path(__file__).with_name('group.capnp')), imports=[]
 )
-# Stands for "none" where a number may be absent.
-_NONE = -1
+# Encodes None in an optional number.
+_ABSENT = -1
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChoicesReport:
-    """Report how often experts were chosen lately, set by set.
+    """Report how often each expert was chosen recently, set by set.
 
-    These are the choices of a rank's requests, and of the ranks that report
-    through it.
+    The counts cover the requests of ``rank`` and of the ranks whose reports
+    it forwards.
     """
 
     group: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MapContent:
-    """Tell what a map holds that the leader's directives name."""
+    """Carry an expert map that the leader's directives refer to."""
 
     group: str
     expert_map: models.ExpertMap
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MapRequest:
-    """Ask the leader for a map that has not arrived at ``host``."""
+    """Request a map that ``host`` lacks from the leader."""
 
     group: str
     version: int
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HeldReport:
-    """Report the experts that a rank holds."""
+    """Report the experts that a rank has loaded."""
 
     group: str
     rank: int
@@ -60,9 +60,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PaceReport:
-    """Tell entries how slow the target at ``address`` is.
+    """Report to entries how slow the target at ``address`` is.
 
-    ``pace`` is the time that it takes over the usual one.
+    ``pace`` is the ratio of the time that it takes to the usual time.
     """
 
     address: str
@@ -71,7 +71,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MessagePart:
-    """Carry a part of a message that is too long for one datagram."""
+    """Carry part ``number`` of a message that needs several datagrams.
+
+    ``number`` counts from 0 to ``parts`` - 1.
+    """
 
     message_id: int
     number: int
@@ -80,10 +83,10 @@
 
 
 def encode_datagrams(message, *, message_id):
-    """Return the datagrams of a message, more than one for a long one.
+    """Return the datagrams of a message; a long message is split into parts.
 
-    ``message_id`` tells a sender's messages apart. Raise ``LimitExceeded``
-    beyond ``MESSAGE_LIMIT_BYTES``.
+    ``message_id`` must be unique among the messages of a sender. Raise
+    ``LimitExceeded`` if the message exceeds ``MESSAGE_LIMIT_BYTES``.
     """
     packed = encode(message)
     if len(packed) <= conf.DATAGRAM_LIMIT_BYTES:
@@ -104,17 +107,18 @@
 
 @functools.singledispatch
 def encode(message):
-    """Return the bytes of a message between agents, or to entries.
+    """Return the packed bytes of a message to an agent or an entry.
 
-    A directive goes without its map, which is a message of its own.
-    Raise ``LimitExceeded`` beyond ``MESSAGE_LIMIT_BYTES``.
+    A directive is encoded without its map; send a ``MapContent`` for that.
+    Raise ``LimitExceeded`` beyond ``MESSAGE_LIMIT_BYTES`` and
+    ``MalformedMessage`` for a class that has no encoding.
     """
     raise exceptions.MalformedMessage(type(message).__name__)
 
 
 @encode.register
 def _(message: models.Directive):
-    envelope, body = _begin('directive')
+    envelope, body = _build_envelope('directive')
     _write_term(body, message.term)
     body.group = message.group
     body.epoch = message.epoch
@@ -125,30 +129,30 @@
     body.step = message.step
     body.holdRank = message.hold_rank
     body.wantsExperts = message.wants_experts
-    return _finish(envelope)
+    return _pack(envelope)
 
 
 @encode.register
 def _(message: MapContent):
-    envelope, body = _begin('map')
+    envelope, body = _build_envelope('map')
     body.group = message.group
     body.version = message.expert_map.version
     _write_sets(body, message.expert_map.experts)
-    return _finish(envelope)
+    return _pack(envelope)
 
 
 @encode.register
 def _(message: MapRequest):
-    envelope, body = _begin('mapRequest')
+    envelope, body = _build_envelope('mapRequest')
     body.group = message.group
     body.version = message.version
     body.host = message.host
-    return _finish(envelope)
+    return _pack(envelope)
 
 
 @encode.register
 def _(message: models.RankReport):
-    envelope, body = _begin('report')
+    envelope, body = _build_envelope('report')
     _write_term(body, message.term)
     state = message.state
     body.host = message.host
@@ -159,60 +163,60 @@
     body.isOpen = state.is_open
     body.step = state.step
     body.active = state.active
-    body.prepared = _to_wire(state.prepared)
-    body.armed = _to_wire(state.armed)
-    body.held = _to_wire(state.held)
+    body.prepared = _encode_optional(state.prepared)
+    body.armed = _encode_optional(state.armed)
+    body.held = _encode_optional(state.held)
     body.pace = state.pace
-    return _finish(envelope)
+    return _pack(envelope)
 
 
 @encode.register
 def _(message: ChoicesReport):
-    envelope, body = _begin('choices')
+    envelope, body = _build_envelope('choices')
     body.group = message.group
     body.rank = message.rank
-    starts = range(0, len(message.choices), conf.COUNTS_CHUNK)
+    starts = range(0, len(message.choices), conf.COUNTS_PER_CHUNK)
     chunks = body.init('choices', len(starts))
     for item, start in zip(chunks, starts, strict=True):
-        counts = message.choices[start : start + conf.COUNTS_CHUNK]
+        counts = message.choices[start : start + conf.COUNTS_PER_CHUNK]
         item.bytesEach = max((max(counts).bit_length() + 7) // 8, 1)
         item.values = b''.join(
-            x.to_bytes(item.bytesEach, 'little') for x in counts
+            count.to_bytes(item.bytesEach, 'little') for count in counts
         )
-    return _finish(envelope)
+    return _pack(envelope)
 
 
 @encode.register
 def _(message: HeldReport):
-    envelope, body = _begin('held')
+    envelope, body = _build_envelope('held')
     body.group = message.group
     body.rank = message.rank
     body.version = message.held.version
     experts = message.held.experts
     _write_rows(body.init('sets', len(experts)), experts)
-    return _finish(envelope)
+    return _pack(envelope)
 
 
 @encode.register
 def _(message: MessagePart):
-    envelope, body = _begin('part')
+    envelope, body = _build_envelope('part')
     body.messageId = message.message_id
     body.number = message.number
     body.parts = message.parts
     body.content = message.content
-    return _finish(envelope)
+    return _pack(envelope)
 
 
 @encode.register
 def _(message: PaceReport):
-    envelope, body = _begin('pace')
+    envelope, body = _build_envelope('pace')
     body.address = message.address
     body.pace = message.pace
-    return _finish(envelope)
+    return _pack(envelope)
 
 
 def decode(packed):
-    """Return the message in the bytes of a datagram or of all its parts.
+    """Return the message in a datagram, or in the joined parts of a message.
 
     Raise ``MalformedMessage``, ``LimitExceeded`` or ``VersionMismatch``.
     """
@@ -222,19 +226,21 @@
             packed, traversal_limit_in_words=conf.UNPACKED_LIMIT_WORDS
         )
         if envelope.version != conf.GROUP_VERSION:
-            raise exceptions.VersionMismatch(f'version {envelope.version}')
+            raise exceptions.VersionMismatch(
+                f'unsupported version {envelope.version}'
+            )
         return _READERS_BY_MEMBER[str(envelope.which())](envelope)
     except (capnp.KjException, ValueError) as error:
         summary = str(error).partition('\n')[0]
         raise exceptions.MalformedMessage(summary) from error
 
 
-def _begin(member):
+def _build_envelope(member):
     envelope = _SCHEMA.Message.new_message(version=conf.GROUP_VERSION)
     return envelope, envelope.init(member)
 
 
-def _finish(envelope):
+def _pack(envelope):
     packed = envelope.to_bytes_packed()
     _require_size(packed)
     return packed
@@ -242,7 +248,9 @@
 
 def _require_size(packed):
     if len(packed) > conf.MESSAGE_LIMIT_BYTES:
-        raise exceptions.LimitExceeded(f'message of {len(packed)} bytes')
+        raise exceptions.LimitExceeded(
+            f'message of {len(packed)} bytes is too long'
+        )
 
 
 def _write_term(body, term):
@@ -253,13 +261,15 @@
 def _write_sets(body, experts):
     sets = body.init('sets', len(experts))
     for item, ranks in zip(sets, experts, strict=True):
-        item.counts = bytes(len(held) for held in ranks)
-        item.experts = [expert for held in ranks for expert in held]
+        item.counts = bytes(len(rank_experts) for rank_experts in ranks)
+        item.experts = [
+            expert for rank_experts in ranks for expert in rank_experts
+        ]
 
 
 def _write_rows(rows, experts):
-    for row, held in zip(rows, experts, strict=True):
-        row.experts = list(held)
+    for row, rank_experts in zip(rows, experts, strict=True):
+        row.experts = list(rank_experts)
 
 
 def _read_directive(envelope):
@@ -291,9 +301,9 @@
             is_open=body.isOpen,
             step=body.step,
             active=body.active,
-            prepared=_from_wire(body.prepared),
-            armed=_from_wire(body.armed),
-            held=_from_wire(body.held),
+            prepared=_decode_optional(body.prepared),
+            armed=_decode_optional(body.armed),
+            held=_decode_optional(body.held),
             pace=body.pace,
         ),
     )
@@ -315,14 +325,18 @@
         tuple(itertools.islice(experts, count)) for count in item.counts
     )
     if sum(item.counts) != len(item.experts):
-        raise exceptions.MalformedMessage('experts do not match their counts')
+        raise exceptions.MalformedMessage(
+            'the counts do not add up to the number of experts'
+        )
     return ranks
 
 
 def _read_part(envelope):
     body = envelope.part
     if not 0 <= body.number < body.parts:
-        raise exceptions.MalformedMessage('no such part')
+        raise exceptions.MalformedMessage(
+            'the number of the part is out of range'
+        )
     return MessagePart(
         message_id=body.messageId,
         number=body.number,
@@ -332,10 +346,12 @@
 
 
 def _read_counts(item):
-    """Return the numbers of one chunk."""
+    """Return the counts of one chunk."""
     values, width = bytes(item.values), item.bytesEach
     if width == 0 or len(values) % width:
-        raise exceptions.MalformedMessage('counts of no width')
+        raise exceptions.MalformedMessage(
+            'the counts are not a multiple of their width'
+        )
     return [
         int.from_bytes(values[start : start + width], 'little')
         for start in range(0, len(values), width)
@@ -386,9 +402,9 @@
 }
 
 
-def _to_wire(number):
-    return _NONE if number is None else number
+def _encode_optional(number):
+    return _ABSENT if number is None else number
 
 
-def _from_wire(number):
-    return None if number == _NONE else number
+def _decode_optional(number):
+    return None if number == _ABSENT else number
--- a/packages/savoryyoke-wire/savoryyoke_wire/messages.py
+++ b/packages/savoryyoke-wire/savoryyoke_wire/messages.py
@@ -1,6 +1,6 @@
-"""Messages between entry daemons and target processes.
+"""Define the messages between entry daemons and target processes.
 
-The fields mirror ``protocol.capnp``, which says what each of them means.
+The fields mirror those of ``protocol.capnp``, which documents them.
 """
 
 import dataclasses
@@ -8,7 +8,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Name what a refusal says about the run of a call."""
+    """Classify a refused call by whether it may have run."""
 
     NOT_RUN = 'notRun'
     MAY_HAVE_RUN = 'mayHaveRun'
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Hello:
-    """Introduce a process; the first message in each direction."""
+    """Identify a process; the first message in each direction."""
 
     version_low: int
     version_high: int
@@ -40,8 +40,8 @@
 class CrashReport:
     """Describe one crash of one back end.
 
-    ``fingerprints`` and ``cleared`` hold digests of
-    ``conf.CRASH_DIGEST_BYTES`` each, one after the other.
+    ``fingerprints`` and ``cleared`` are concatenated digests of requests,
+    ``conf.CRASH_DIGEST_BYTES`` each.
     """
 
     crash_id: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """Offer one attempt of a caller's request to a target."""
+    """Send one attempt of a caller's request to a target."""
 
     call_id: int
     service: str
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cancel:
-    """Withdraw a call whose caller went away or was answered."""
+    """Cancel a call whose caller disconnected or has an answer already."""
 
     call_id: int
 
@@ -106,7 +106,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Chunk:
-    """Carry ``count`` consecutive events of an answer from ``index`` on."""
+    """Carry ``count`` consecutive events of an answer, from ``index`` on."""
 
     call_id: int
     index: int
@@ -116,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class End:
-    """End an answer explicitly; without it the answer is not complete."""
+    """End an answer; an answer without this message is incomplete."""
 
     call_id: int
     total: int
@@ -125,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """End a call without an answer and say what is known of its run."""
+    """End a call without an answer and report whether it may have run."""
 
     call_id: int
     outcome: Outcome
@@ -140,7 +140,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Stamp:
-    """Hold the clock of one incarnation's ledger and who answers for it."""
+    """Hold the clock of one incarnation's ledger.
+
+    ``target_id`` is the target that answers for this ledger now.
+    """
 
     target_id: str
     incarnation: int
@@ -167,7 +170,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Redirect:
-    """Send an entry's message on to the heir of a target that left."""
+    """Refer an entry to the heir of a target that has left."""
 
     call_id: int
     heir_target_id: str
@@ -188,7 +191,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HandoverAnswer:
-    """Tell whether the heir holds a ledger's snapshot."""
+    """Report whether the heir has stored a ledger's snapshot."""
 
     source_incarnation: int
     export_number: int
@@ -197,7 +200,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HeirNamed:
-    """Tell the heir and the entries that the authority has moved."""
+    """Announce that the heir now answers for the ledger."""
 
     source_incarnation: int
     export_number: int
@@ -208,7 +211,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RecordTransfer:
-    """Carry the end of a call that was in progress at the handover."""
+    """Carry the outcome of a call that was still running at the handover."""
 
     data: bytes
 
@@ -224,7 +227,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StateRequest:
-    """Ask a process what it holds and what is in force at a site."""
+    """Request the document versions that a process holds.
+
+    The answer also has the versions that are in force at ``site``.
+    """
 
     request_id: int
     site: str
@@ -241,7 +247,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DocumentRequest:
-    """Ask a process for one revision of a document."""
+    """Request one revision of a document from a process."""
 
     request_id: int
     name: str
@@ -260,14 +266,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DocumentRefusal:
-    """Tell a process to fetch a document elsewhere."""
+    """Refuse a ``DocumentRequest``; another process must be asked."""
 
     request_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoanRow:
-    """Name a rate of one team's limit that is asked for or lent."""
+    """Hold a rate of one team's limit that is requested or lent."""
 
     team: str
     resource: str
@@ -277,7 +283,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoanRequest:
-    """Ask an entry to lend parts of teams' limits."""
+    """Request that an entry lends parts of teams' limits."""
 
     request_id: int
     entry_id: str
--- a/packages/savoryyoke-wire/savoryyoke_wire/protocol.capnp
+++ b/packages/savoryyoke-wire/savoryyoke_wire/protocol.capnp
@@ -1,9 +1,9 @@
 @0xd6a1f0b3c5e79284;
 # Messages between entry daemons and target processes.
 #
-# Evolution rules: fields are only added, at the end; a reader takes the
-# default where an older peer left a field out; a union member that a reader
-# does not know is ignored by version N-1 and never required by version N.
+# Evolution rules: fields are only added, at the end. A reader uses the default
+# of a field that an older peer does not send. Version N-1 ignores a union
+# member that version N adds, and version N never requires that member.
 
 struct Header {
   name @0 :Text;
@@ -14,18 +14,18 @@
   versionLow @0 :UInt16;
   versionHigh @1 :UInt16;
   processId @2 :Text;          # vm or target identifier
-  incarnation @3 :UInt64;      # random, made at process start
+  incarnation @3 :UInt64;      # random, chosen at process start
   dataCentre @4 :Text;
   service @5 :Text;            # empty for an entry
 }
 
-# One crash of one back end. The digests of requests are 8 bytes each, one
-# after the other.
+# One crash of one back end. The fingerprints are concatenated digests of
+# requests, 8 bytes each.
 struct CrashReport {
   crashId @0 :Text;
   fingerprints @1 :Data;       # requests in flight at the crash
-  cleared @2 :Data;            # those that succeeded since
-  remainingMs @3 :UInt32;      # how long the evidence is still kept
+  cleared @2 :Data;            # those that have succeeded since
+  remainingMs @3 :UInt32;      # time until the report expires
 }
 
 struct Call {
@@ -34,12 +34,12 @@
   operation @2 :Text;
   team @3 :Text;
   teamWeight @4 :Float64;
-  priority @5 :Int16;          # a lower number goes first
+  priority @5 :Int16;          # a lower number is served first
   remainingMs @6 :UInt32;      # time left until the deadline
   idempotent @7 :Bool;
   key @8 :Text;                # bound idempotency key, else empty
   fingerprint @9 :Data;
-  stampMs @10 :UInt64;         # newest stamp held when the request arrived
+  stampMs @10 :UInt64;         # newest stamp known at the request's arrival
   method @11 :Text;
   path @12 :Text;
   headers @13 :List(Header);
@@ -49,10 +49,10 @@
   resumeText @17 :Text;        # text of these events
   cost @18 :Float64;           # estimated work in tokens
   creditBytes @19 :UInt32;     # first flow-control window
-  sealOnly @20 :Bool;          # close the key; never start a run
+  sealOnly @20 :Bool;          # close the key without running the call
   attempt @21 :Text;           # the entry's identifier of the attempt
-  number @22 :UInt16;          # counts the messages of the attempt
-  crashReports @23 :List(CrashReport);  # of a suspect request
+  number @22 :UInt16;          # number of the message in the attempt
+  crashReports @23 :List(CrashReport);  # that involve this request
 }
 
 struct Cancel {
@@ -97,12 +97,12 @@
   retryAfterMs @3 :UInt32;
   sameKeyMayReturn @4 :Bool;
   handedOver @5 :Bool;         # the back end may have seen the call
-  holdsForMs @6 :UInt32;       # how long a 'not run' holds after the request
-  status @7 :UInt16;           # of an answer that is no longer kept
-  crashReports @8 :List(CrashReport);   # of a crash that broke the call
+  holdsForMs @6 :UInt32;       # how long 'not run' stays true, from the request on
+  status @7 :UInt16;           # of an answer that is no longer stored
+  crashReports @8 :List(CrashReport);   # of a crash that ended the call
 }
 
-# The clock of one incarnation's ledger, and the target that answers for it.
+# The clock of one incarnation's ledger, and the target that now answers for it.
 struct Stamp {
   targetId @0 :Text;
   incarnation @1 :UInt64;
@@ -121,10 +121,10 @@
   kvFree @7 :Float64;          # ratio of free KV memory
   stamps @8 :List(Stamp);
   revision @9 :Text;           # configuration in force at the sender
-  crashReports @10 :List(CrashReport);  # news first, then all in turn
+  crashReports @10 :List(CrashReport);  # new ones first, then all in rotation
 }
 
-# Sends an entry's message on to the heir of a target that left.
+# Refers an entry to the heir of a target that has left.
 struct Redirect {
   callId @0 :UInt64;
   heirTargetId @1 :Text;
@@ -137,7 +137,7 @@
   exportNumber @1 :UInt32;
   part @2 :UInt32;
   parts @3 :UInt32;
-  data @4 :Data;               # JSON of a snapshot, cut into parts
+  data @4 :Data;               # part of the JSON of a snapshot
 }
 
 struct HandoverAnswer {
@@ -172,7 +172,7 @@
 struct StateAnswer {
   requestId @0 :UInt64;
   held @1 :List(Version);
-  inForce @2 :List(Version);   # empty, or those of base and overlay
+  inForce @2 :List(Version);   # empty, or the versions of base and overlay
 }
 
 struct DocumentRequest {
@@ -192,7 +192,7 @@
   requestId @0 :UInt64;
 }
 
-# A rate of one team's limit that an entry asks for or lends.
+# A rate of one team's limit that an entry requests or lends.
 struct LoanRow {
   team @0 :Text;
   resource @1 :Text;           # 'requests' or 'tokens'
--- a/packages/savoryyoke-wire/tests/test_codec.py
+++ b/packages/savoryyoke-wire/tests/test_codec.py
@@ -48,7 +48,7 @@
 
 
 class CodecTests(unittest.TestCase):
-    """Test the translation of messages."""
+    """Test the encoding and decoding of messages."""
 
     def test_round_trip_keeps_every_field(self):
         load = messages.Load(
@@ -86,11 +86,11 @@
                 self.assertEqual(message, codec.decode(codec.encode(message)))
 
     def test_every_schema_member_has_a_message_class(self):
-        names = {
-            name.__name__[0].lower() + name.__name__[1:]
-            for name in typing.get_args(messages.Message)
+        members = {
+            message_class.__name__[0].lower() + message_class.__name__[1:]
+            for message_class in typing.get_args(messages.Message)
         }
-        self.assertEqual(names, set(codec.get_union_members()))
+        self.assertEqual(members, set(codec.get_union_members()))
 
     @FIXED
     @hypothesis.given(strategies.binary(max_size=400))
@@ -168,7 +168,7 @@
 
 
 class VersionTests(unittest.TestCase):
-    """Test the agreement on a version."""
+    """Test the negotiation of a version."""
 
     def test_neighbouring_versions_agree_and_distant_ones_do_not(self):
         cases = {(1, 1): 1, (1, 2): 1, (0, 1): 1}
--- a/packages/savoryyoke-wire/tests/test_fleet.py
+++ b/packages/savoryyoke-wire/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Test the bytes that entries exchange."""
+"""Test the encoding of heartbeats and snapshots."""
 
 import unittest
 
@@ -48,7 +48,7 @@
         packed = fleet.encode_heartbeat(HEARTBEAT)
         self.assertEqual(HEARTBEAT, fleet.decode_heartbeat(packed))
 
-    def test_every_cut_is_refused_or_decoded(self):
+    def test_truncated_heartbeat_is_refused_or_decoded(self):
         packed = fleet.encode_heartbeat(HEARTBEAT)
         for length in range(len(packed)):
             try:
@@ -56,10 +56,15 @@
             except exceptions.WireError:
                 continue
 
-    def test_noise_is_refused(self):
-        for noise in (b'', b'\x00', b'\xff' * 64, b'no heartbeat at all'):
+    def test_invalid_bytes_are_refused(self):
+        for invalid_bytes in (
+            b'',
+            b'\x00',
+            b'\xff' * 64,
+            b'no heartbeat at all',
+        ):
             with self.assertRaises(exceptions.WireError):
-                fleet.decode_heartbeat(noise)
+                fleet.decode_heartbeat(invalid_bytes)
 
     def test_oversized_datagram_is_refused(self):
         with self.assertRaises(exceptions.LimitExceeded):
@@ -71,6 +76,6 @@
         packed = fleet.encode_snapshot(SNAPSHOT)
         self.assertEqual(SNAPSHOT, fleet.decode_snapshot(packed))
 
-    def test_noise_is_refused(self):
+    def test_invalid_bytes_are_refused(self):
         with self.assertRaises(exceptions.WireError):
             fleet.decode_snapshot(b'\xff' * 64)
--- a/packages/savoryyoke-wire/tests/test_gossip.py
+++ b/packages/savoryyoke-wire/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Test the datagrams of membership."""
+"""Test the datagrams of the membership protocol."""
 
 import unittest
 
@@ -34,7 +34,7 @@
     'attachments': (messages.Attachment(name='limits', content=b'\x00x'),),
     'updates': (UPDATE, UPDATE),
 }
-EXAMPLES_OF_KINDS = (
+EXAMPLE_MESSAGES = (
     messages.Ping(joining=True, **COMMON),
     messages.PingRequest(
         subject_id='entry-c', subject_address='10.0.0.2:7000', **COMMON
@@ -44,17 +44,17 @@
 
 
 class GossipTests(unittest.TestCase):
-    """Test the translation of datagrams."""
+    """Test the encoding and decoding of datagrams."""
 
     def test_round_trip_keeps_every_field(self):
-        for message in EXAMPLES_OF_KINDS:
+        for message in EXAMPLE_MESSAGES:
             with self.subTest(kind=type(message).__name__):
                 self.assertEqual(
                     message, gossip.decode(gossip.encode(message))
                 )
 
     def test_estimated_sizes_are_not_below_the_real_ones(self):
-        for message in EXAMPLES_OF_KINDS:
+        for message in EXAMPLE_MESSAGES:
             with self.subTest(kind=type(message).__name__):
                 self.assertGreaterEqual(
                     sizes.message_bytes(message),
@@ -64,7 +64,7 @@
     @FIXED
     @hypothesis.given(strategies.data())
     def test_garbage_and_damage_give_typed_errors(self, data):
-        packed = bytearray(gossip.encode(EXAMPLES_OF_KINDS[0]))
+        packed = bytearray(gossip.encode(EXAMPLE_MESSAGES[0]))
         if data.draw(strategies.booleans()):
             packed = bytearray(data.draw(strategies.binary(max_size=300)))
         elif packed:
--- a/packages/savoryyoke-wire/tests/test_group.py
+++ b/packages/savoryyoke-wire/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Test what the agents of a group tell each other."""
+"""Test the messages between the agents of a group."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
 
 
 def build_directive(**changes):
-    """Return a directive with ``changes``."""
+    """Return a directive with some fields replaced by ``changes``."""
     fields = {
         'group': 'g',
         'epoch': 2,
@@ -27,21 +27,21 @@
 
 
 class GroupMessageTests(unittest.TestCase):
-    def assert_kept(self, message):
-        """Check that a message survives its way over the wire."""
+    def assert_round_trip(self, message):
+        """Check that a message is equal after encoding and decoding."""
         self.assertEqual(message, group.decode(group.encode(message)))
 
     def assert_fits_datagram(self, message):
-        """Check that a message survives, and needs one datagram."""
-        self.assert_kept(message)
+        """Check that a message is equal after a round trip in one datagram."""
+        self.assert_round_trip(message)
         self.assertLessEqual(
             len(group.encode(message)), conf.DATAGRAM_LIMIT_BYTES
         )
 
     def test_directives(self):
-        self.assert_kept(build_directive())
-        self.assert_kept(build_directive(wants_experts=True))
-        self.assert_kept(
+        self.assert_round_trip(build_directive())
+        self.assert_round_trip(build_directive(wants_experts=True))
+        self.assert_round_trip(
             build_directive(phase=models.Phase.PREPARE, version=70000)
         )
 
@@ -49,8 +49,10 @@
         expert_map = models.ExpertMap(
             version=70000, experts=(((0, 1), (2,)), ((2,), (1, 0)))
         )
-        self.assert_kept(group.MapContent(group='g', expert_map=expert_map))
-        self.assert_kept(
+        self.assert_round_trip(
+            group.MapContent(group='g', expert_map=expert_map)
+        )
+        self.assert_round_trip(
             group.MapRequest(group='g', version=70000, host='10.0.0.2')
         )
 
@@ -67,8 +69,8 @@
             group.MapContent(group='g', expert_map=expert_map)
         )
 
-    def test_held_experts(self):
-        self.assert_kept(
+    def test_loaded_experts(self):
+        self.assert_round_trip(
             group.HeldReport(
                 group='g',
                 rank=4,
@@ -77,17 +79,17 @@
         )
 
     def test_choices(self):
-        self.assert_kept(
+        self.assert_round_trip(
             group.ChoicesReport(group='g', rank=4, choices=(0, 2**31, 7))
         )
 
     def test_choices_of_the_largest_block_fit_a_datagram(self):
-        choices = tuple((997 * x) % 60000 for x in range(8 * 252))
+        choices = tuple((997 * index) % 60000 for index in range(8 * 252))
         self.assert_fits_datagram(
             group.ChoicesReport(group='g', rank=4, choices=choices)
         )
 
-    def test_messages_of_any_size_travel_in_datagrams(self):
+    def test_messages_of_any_size_are_split_and_reassembled(self):
         source = random.Random(129)
         for sets, ranks, places in ((16, 129, 3), (16, 1300, 8), (1, 1, 1)):
             experts = tuple(
@@ -111,7 +113,7 @@
                     self.assert_assembled(message, source)
 
     def assert_assembled(self, message, source):
-        """Check that datagrams in any order, some twice, make a message."""
+        """Check that shuffled and duplicated datagrams give the message."""
         sent = list(group.encode_datagrams(message, message_id=7))
         longest = max(len(packed) for packed in sent)
         self.assertLessEqual(longest, conf.DATAGRAM_LIMIT_BYTES)
@@ -119,16 +121,20 @@
             self.assertEqual(message, group.decode(sent[0]))
             return
         assembler = assembly.Assembler()
-        last = sent.pop(source.randrange(len(sent)))
-        doubled = sent * 2
-        source.shuffle(doubled)
-        for packed in doubled:
-            whole = assembler.add(group.decode(packed), sender='a', now_s=0.0)
-            self.assertIsNone(whole)
-        whole = assembler.add(group.decode(last), sender='a', now_s=0.0)
-        self.assertEqual(message, group.decode(whole))
-
-    def test_cut_datagrams_are_refused(self):
+        withheld = sent.pop(source.randrange(len(sent)))
+        shuffled = sent * 2
+        source.shuffle(shuffled)
+        for packed in shuffled:
+            assembled = assembler.add(
+                group.decode(packed), sender='a', now_s=0.0
+            )
+            self.assertIsNone(assembled)
+        assembled = assembler.add(
+            group.decode(withheld), sender='a', now_s=0.0
+        )
+        self.assertEqual(message, group.decode(assembled))
+
+    def test_truncated_datagrams_are_refused(self):
         packed = group.encode(build_directive())
         for length in range(len(packed)):
             with self.subTest(length=length):
@@ -149,20 +155,20 @@
         )
         return self.assembler.add(part, sender=sender, now_s=now_s)
 
-    def test_senders_and_messages_are_told_apart(self):
+    def test_parts_are_assembled_per_sender_and_message(self):
         self.assertIsNone(self.add(0))
         self.assertIsNone(self.add(1, sender='b'))
         self.assertIsNone(self.add(1, message_id=2))
         self.assertEqual(b'01', self.add(1))
 
-    def test_parts_that_never_come_hold_no_memory(self):
+    def test_incomplete_messages_are_bounded_and_expire(self):
         for message_id in range(2 * conf.ASSEMBLIES_LIMIT):
             self.add(0, message_id=message_id)
-        held = len(self.assembler._assemblies_by_key)
-        self.assertEqual(conf.ASSEMBLIES_LIMIT, held)
+        stored = len(self.assembler._assemblies_by_key)
+        self.assertEqual(conf.ASSEMBLIES_LIMIT, stored)
         self.add(0, message_id=-1, now_s=conf.ASSEMBLY_TIMEOUT_S)
         self.assertEqual(1, len(self.assembler._assemblies_by_key))
 
-    def test_message_that_would_be_too_long_is_not_begun(self):
+    def test_part_of_a_too_long_message_is_ignored(self):
         self.add(0, parts=1000)
         self.assertEqual(0, len(self.assembler._assemblies_by_key))
