--- a/packages/savoryyoke-emulator/savoryyoke_emulator/__main__.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/__main__.py
@@ -1,4 +1,4 @@
-"""Command line: ``python -m savoryyoke_emulator FILE... --help``."""
+"""Provide the command ``python -m savoryyoke_emulator FILE... --help``."""
 
 import sys
 
@@ -11,15 +11,15 @@
 
 
 def emulate(*paths, seeds=3, against=()):
-    """Play experiments and print a table and the credit of each second.
+    """Run experiments and print a table and the credit of each second.
 
-    ``against`` holds changes to compare with, parted by commas, such as
+    ``against`` lists changes to compare with, separated by commas, such as
     ``fleet.engine_requests=4,maps.even=1.2+maps.reaction_s=0.3``.
     """
     changes = against.split(',') if isinstance(against, str) else against
     try:
-        loaded = [experiments.load(path) for path in paths]
-        for experiment in loaded:
+        loaded_experiments = [experiments.load(path) for path in paths]
+        for experiment in loaded_experiments:
             _compare(experiment, changes, seeds)
     except exceptions.InvalidExperiment as error:
         print(error, file=sys.stderr)
@@ -32,15 +32,21 @@
     variants = {'as it is': experiment}
     for text in changes:
         variants[text] = experiments.change(experiment, text)
-    lines = {}
+    credit_lines = {}
     for label, variant in variants.items():
-        results = [emulation.play(variant, seed=x) for x in range(seeds)]
-        summary = tables.average([tables.summarize(x) for x in results])
+        results = [emulation.play(variant, seed=seed) for seed in range(seeds)]
+        summary = tables.average(
+            [tables.summarize(result) for result in results]
+        )
         print(tables.format_row(label, summary), flush=True)
-        outcomes = [x for result in results for x in result.outcomes]
-        lines[label] = tables.draw_credit(outcomes, seconds=variant.seconds)
-    for label, line in lines.items():
-        print(f'{label:32} |{line}|')
+        outcomes = [
+            outcome for result in results for outcome in result.outcomes
+        ]
+        credit_lines[label] = tables.format_credit_line(
+            outcomes, seconds=variant.seconds
+        )
+    for label, credit_line in credit_lines.items():
+        print(f'{label:32} |{credit_line}|')
 
 
 if __name__ == '__main__':
--- a/packages/savoryyoke-emulator/savoryyoke_emulator/emulation.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/emulation.py
@@ -1,4 +1,4 @@
-"""Play an experiment."""
+"""Run an experiment."""
 
 import dataclasses
 import functools
@@ -14,51 +14,55 @@
 
 _Ending = models.Ending
 _Kind = models.TroubleKind
-_DIRECTORY_AGAIN_S = 0.1
+_DIRECTORY_RETRY_S = 0.1
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Request:
-    """Hold one request of a caller over all its tries."""
+    """Hold one request of a caller across all its tries.
 
-    asked_s: float
+    ``first_event_s`` counts from the request's arrival; the other times are
+    those of the virtual clock.
+    """
+
+    arrived_s: float
     prompt_tokens: int
     events: int
     tries: int = 0
-    # Ends the present try early; None while there is none.
+    # Ends the current try early; None while no try can be ended.
     abandon: object = None
-    first_s: float | None = None
-    last_s: float | None = None
+    first_event_s: float | None = None
+    last_event_s: float | None = None
     is_late: bool = False
-    is_over: bool = False
+    has_ended: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Result:
-    """Hold the outcomes of one run and the group's mean pass."""
+    """Hold the outcomes of one run and the mean time of a pass."""
 
     outcomes: tuple[models.Outcome, ...]
     pass_s: float
 
 
 def play(experiment, *, seed):
-    """Return the ``Result`` of one run."""
+    """Run an experiment with a seed and return its ``Result``."""
     return Emulation(experiment, seed=seed).run()
 
 
 class Emulation:
-    """Own one run."""
+    """Run an experiment once, with all its state."""
 
     def __init__(self, experiment, *, seed):
         self._experiment = experiment
-        self._source = random.Random(seed)
+        self._random = random.Random(seed)
         self._clock = clocks.VirtualClock()
         self._group = engines.EngineGroup(
             engines=experiment.engines, clock=self._clock
         )
         self._group.peak = experiment.maps.even
-        self._shift = 0
-        self._numbers = itertools.count()
+        self._shift_count = 0
+        self._request_numbers = itertools.count()
         self._waiting_by_id = {}
         self._outcomes = []
         self._entries = [
@@ -66,30 +70,30 @@
         ]
 
     def run(self):
-        """Play the experiment and return its ``Result``."""
+        """Run the experiment to its end and return its ``Result``."""
         self._publish()
         for number in range(len(self._entries)):
             self._clock.call_at(
-                self._source.random() * self._experiment.fleet.heartbeat_s,
-                self._beat,
+                self._random.random() * self._experiment.fleet.heartbeat_s,
+                self._send_heartbeat,
                 number,
             )
         for trouble in self._experiment.troubles:
-            self._clock.call_at(trouble.at_s, self._cause, trouble)
-        self._arrive_next()
+            self._clock.call_at(trouble.at_s, self._start_trouble, trouble)
+        self._schedule_arrival()
         deadline_s = self._experiment.traffic.deadline_s
         self._clock.run_until(self._experiment.seconds + deadline_s)
         return Result(
             outcomes=tuple(self._outcomes),
-            pass_s=self._group.passing_s / max(self._group.passes, 1),
+            pass_s=self._group.total_pass_s / max(self._group.pass_count, 1),
         )
 
     def _start_entry(self):
         return entries.Entry(
             fleet=self._experiment.fleet,
-            source=self._source,
+            random_source=self._random,
             clock=self._clock,
-            on_decision=self._follow,
+            on_decision=self._apply_decision,
         )
 
     def _publish(self):
@@ -99,30 +103,33 @@
         for entry in self._entries:
             entry.publish(targets)
 
-    def _beat(self, number):
-        """Tell the other entries what one has in flight."""
+    def _send_heartbeat(self, number):
+        """Send an entry's requests in flight to the other entries."""
         fleet = self._experiment.fleet
         entry = self._entries[number]
         if entry.is_up:
             self._clock.call_after(
-                fleet.between_s, self._hear, number, entry.own_in_flight()
+                fleet.between_s,
+                self._deliver_heartbeat,
+                number,
+                entry.own_in_flight(),
             )
             entry.tick()
-        self._clock.call_after(fleet.heartbeat_s, self._beat, number)
+        self._clock.call_after(fleet.heartbeat_s, self._send_heartbeat, number)
 
-    def _hear(self, number, in_flight):
-        for other, entry in enumerate(self._entries):
-            if other != number:
-                entry.report_peer(str(number), in_flight)
+    def _deliver_heartbeat(self, sender_number, in_flight):
+        for number, entry in enumerate(self._entries):
+            if number != sender_number:
+                entry.report_peer(str(sender_number), in_flight)
 
-    def _arrive_next(self):
+    def _schedule_arrival(self):
         traffic = self._experiment.traffic
-        rate_per_s = traffic.per_s * self._find_burst()
-        at_s = self._clock.now_s + self._source.expovariate(rate_per_s)
+        rate_per_s = traffic.per_s * self._find_burst_factor()
+        at_s = self._clock.now_s + self._random.expovariate(rate_per_s)
         if at_s < self._experiment.seconds:
-            self._clock.call_at(at_s, self._arrive)
+            self._clock.call_at(at_s, self._create_request)
 
-    def _find_burst(self):
+    def _find_burst_factor(self):
         now_s = self._clock.now_s
         return max(
             (
@@ -134,34 +141,39 @@
             default=1.0,
         )
 
-    def _arrive(self):
+    def _create_request(self):
         traffic = self._experiment.traffic
         request = _Request(
-            asked_s=self._clock.now_s,
-            prompt_tokens=self._draw_size(traffic.prompt_tokens, 0.3),
-            events=self._draw_size(traffic.events, traffic.spread),
+            arrived_s=self._clock.now_s,
+            prompt_tokens=self._choose_size(traffic.prompt_tokens, 0.3),
+            events=self._choose_size(traffic.events, traffic.spread),
         )
         self._clock.call_after(
             traffic.deadline_s, self._end, request, _Ending.LOST
         )
-        self._ask(request)
-        self._arrive_next()
-
-    def _draw_size(self, mean, spread):
-        """Return a size of a log-normal distribution with this mean."""
-        drawn = self._source.lognormvariate(-(spread**2) / 2, spread)
-        return max(1, min(round(mean * drawn), round(2.5 * mean)))
-
-    def _ask(self, request):
-        """Send a request to an entry, as its caller does."""
-        up = [entry for entry in self._entries if entry.is_up]
-        if request.is_over:
+        self._send_request(request)
+        self._schedule_arrival()
+
+    def _choose_size(self, mean, spread):
+        """Return a random size from a log-normal distribution.
+
+        Sizes are at least 1 and at most 2.5 times ``mean``.
+        """
+        factor = self._random.lognormvariate(-(spread**2) / 2, spread)
+        return max(1, min(round(mean * factor), round(2.5 * mean)))
+
+    def _send_request(self, request):
+        """Send a request to a random running entry."""
+        running_entries = [entry for entry in self._entries if entry.is_up]
+        if request.has_ended:
             return
-        if not up:
-            # Nobody answers the directory: callers ask again.
-            self._clock.call_after(_DIRECTORY_AGAIN_S, self._ask, request)
+        if not running_entries:
+            # No entry serves the directory: the caller asks it again later.
+            self._clock.call_after(
+                _DIRECTORY_RETRY_S, self._send_request, request
+            )
             return
-        entry = self._source.choice(up)
+        entry = self._random.choice(running_entries)
         self._clock.call_after(
             self._experiment.traffic.callers_away_s,
             self._receive,
@@ -175,20 +187,20 @@
             return
         traffic, fleet = self._experiment.traffic, self._experiment.fleet
         now_s = self._clock.now_s
-        is_on_time = now_s - request.asked_s < traffic.aim_s
+        is_on_time = now_s - request.arrived_s < traffic.aim_s
         wait_s = fleet.late_wait_s
         if is_on_time:
             wait_s = fleet.wait_share * traffic.aim_s
-        request_id = str(next(self._numbers))
+        request_id = str(next(self._request_numbers))
         self._waiting_by_id[request_id] = (request, entry)
         request.abandon = functools.partial(
             self._abandon_wait, request_id, entry
         )
         self._clock.call_after(
-            traffic.silence_s, self._lose_patience, request, request.tries
+            traffic.silence_s, self._check_silence, request, request.tries
         )
-        ends_s = request.asked_s + traffic.deadline_s
-        entry.ask(
+        ends_s = request.arrived_s + traffic.deadline_s
+        entry.receive(
             events.RequestArrived(
                 request_id=request_id,
                 is_on_time=is_on_time,
@@ -198,8 +210,8 @@
             )
         )
 
-    def _follow(self, request_id, decision):
-        """Carry out what an entry has decided."""
+    def _apply_decision(self, request_id, decision):
+        """Carry out an entry's decision about a request."""
         request, entry = self._waiting_by_id.pop(request_id)
         request.abandon = None
         if not entries.is_placed(decision):
@@ -217,7 +229,7 @@
             )
 
         def on_event(number):
-            self._deliver(request, number)
+            self._deliver_event(request, number)
             if number >= request.events:
                 end(self._clock.now_s - started_s)
 
@@ -246,74 +258,76 @@
         self._waiting_by_id.pop(request_id, None)
         entry.withdraw(request_id)
 
-    def _lose_patience(self, request, tries):
-        """Let a caller leave a try that has brought no event."""
-        has_event = request.first_s is not None
-        if request.is_over or has_event or request.tries != tries:
+    def _check_silence(self, request, tries):
+        """Retry a request whose try has produced no event in time."""
+        has_event = request.first_event_s is not None
+        if request.has_ended or has_event or request.tries != tries:
             return
         if request.abandon is not None:
-            self._leave(request)
+            self._abandon_try(request)
             self._retry(request, 0.0)
 
     @staticmethod
-    def _leave(request):
+    def _abandon_try(request):
         abandon, request.abandon = request.abandon, None
         if abandon is not None:
             abandon()
 
-    def _deliver(self, request, number):
+    def _deliver_event(self, request, number):
         traffic = self._experiment.traffic
         now_s = self._clock.now_s
         if number == 1:
-            # The first event needs some time more.
-            seen_s = now_s + self._experiment.engines.first_ms / 1000
-            seen_s += traffic.callers_away_s
-            request.first_s = seen_s - request.asked_s
-            request.is_late |= request.first_s > traffic.aim_s
+            # The first event takes extra time to reach the caller.
+            received_s = now_s + self._experiment.engines.first_ms / 1000
+            received_s += traffic.callers_away_s
+            request.first_event_s = received_s - request.arrived_s
+            request.is_late |= request.first_event_s > traffic.aim_s
         else:
-            request.is_late |= now_s - request.last_s > traffic.pause_s
-        request.last_s = now_s
+            request.is_late |= now_s - request.last_event_s > traffic.pause_s
+        request.last_event_s = now_s
         if number >= request.events:
-            late = request.is_late
-            self._end(request, _Ending.LATE if late else _Ending.ON_TIME)
+            is_late = request.is_late
+            self._end(request, _Ending.LATE if is_late else _Ending.ON_TIME)
 
     def _retry(self, request, after_s):
-        """Let a caller come back, if it does."""
+        """Schedule a retry; end the request if no retry or time is left."""
         traffic = self._experiment.traffic
-        left_s = request.asked_s + traffic.deadline_s - self._clock.now_s
-        if request.tries >= traffic.retries or after_s > left_s:
+        remaining_s = (
+            request.arrived_s + traffic.deadline_s - self._clock.now_s
+        )
+        if request.tries >= traffic.retries or after_s > remaining_s:
             self._end(request, _Ending.REFUSED)
             return
         request.tries += 1
-        self._clock.call_after(after_s, self._ask, request)
+        self._clock.call_after(after_s, self._send_request, request)
 
     def _end(self, request, ending):
-        if request.is_over:
+        if request.has_ended:
             return
-        request.is_over = True
+        request.has_ended = True
         if ending is _Ending.LOST:
-            self._leave(request)
-        credits = {
+            self._abandon_try(request)
+        credit_by_ending = {
             _Ending.ON_TIME: 1.0,
             _Ending.LATE: self._experiment.traffic.late_worth,
         }
         self._outcomes.append(
             models.Outcome(
-                asked_s=request.asked_s,
+                arrived_s=request.arrived_s,
                 ending=ending,
-                credit=credits.get(ending, 0.0),
-                first_event_s=request.first_s,
+                credit=credit_by_ending.get(ending, 0.0),
+                first_event_s=request.first_event_s,
             )
         )
 
-    def _cause(self, trouble):
+    def _start_trouble(self, trouble):
         if trouble.kind is _Kind.SHIFT:
-            self._shift += 1
+            self._shift_count += 1
             self._group.peak = self._experiment.maps.uneven
             self._clock.call_after(
                 self._experiment.maps.reaction_s,
-                self._follow_shift,
-                self._shift,
+                self._apply_new_map,
+                self._shift_count,
             )
         elif trouble.kind is _Kind.OUTAGE:
             self._group.lose(trouble.for_s)
@@ -321,24 +335,28 @@
             forming_s = self._experiment.engines.forming_s
             self._clock.call_after(trouble.for_s + forming_s, self._publish)
         elif trouble.kind is _Kind.KILL:
-            self._kill(trouble.for_s)
+            self._kill_entries(trouble.for_s)
+
+    def _apply_new_map(self, shift):
+        """Switch to a map for the shifted demand.
 
-    def _follow_shift(self, shift):
-        """Put the map that answers a shift in use, if it is the last."""
-        if shift == self._shift:
+        Do nothing if a later shift has made this map outdated.
+        """
+        if shift == self._shift_count:
             self._group.peak = self._experiment.maps.even
 
-    def _kill(self, for_s):
-        """Lose all entries; their requests are cut, and callers return."""
+    def _kill_entries(self, for_s):
+        """Kill all entries; callers of waiting and running requests retry."""
         for entry in self._entries:
             entry.is_up = False
-        cut = [request for request, _ in self._waiting_by_id.values()]
+        waiting = [request for request, _ in self._waiting_by_id.values()]
         self._waiting_by_id.clear()
-        for request in cut:
+        for request in waiting:
             self._retry(request, for_s)
+        # The engines keep running: the group reopens at once.
         self._group.lose(-self._experiment.engines.forming_s)
-        self._clock.call_after(for_s, self._start_anew)
+        self._clock.call_after(for_s, self._restart_entries)
 
-    def _start_anew(self):
+    def _restart_entries(self):
         self._entries = [self._start_entry() for _ in self._entries]
         self._publish()
--- a/packages/savoryyoke-emulator/savoryyoke_emulator/engines.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/engines.py
@@ -1,22 +1,23 @@
-"""Emulate a group of engines whose ranks pass together."""
+"""Emulate a group of engines whose ranks run each pass in lockstep."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(kw_only=True)
 class Job:
-    """Hold a stream at a rank.
+    """Hold one stream that a rank generates.
 
-    ``on_event(number)`` is called for each event, ``on_lost()`` when the
-    group is lost under it.
+    ``on_event(number)`` is called for each event, counted from 1, and
+    ``on_lost()`` if the group fails before the stream ends.
+    ``unread_tokens`` is the part of the prompt that is not processed yet.
     """
 
     prompt_tokens: int
     events: int
     on_event: object
     on_lost: object
-    unread: int = 0
-    written: int = 0
+    unread_tokens: int = 0
+    generated_events: int = 0
 
 
 class _Rank:
@@ -28,112 +29,121 @@
 
 
 class EngineGroup:
-    """Own the ranks and their passes.
+    """Run the passes of all ranks of a group.
 
-    ``peak`` is the load of the most loaded rank over the mean, as the map in
-    use has it.
+    ``peak`` is the ratio of the expert load of the most loaded rank to the
+    mean, under the expert map in use.
     """
 
     def __init__(self, *, engines, clock):
         self._engines = engines
         self._clock = clock
         self._ranks = [_Rank() for _ in range(engines.ranks)]
-        self._life = 0
-        self._is_passing = False
+        self._incarnation = 0
+        self._is_pass_running = False
         self.is_open = True
         self.peak = 1.0
-        self.passes = 0
-        self.passing_s = 0.0
+        self.pass_count = 0
+        self.total_pass_s = 0.0
 
     def add(self, rank, job):
-        """Take a job; return whether the group is open."""
+        """Queue a job at a rank; return False if the group is not open."""
         if not self.is_open:
             return False
-        job.unread = job.prompt_tokens
+        job.unread_tokens = job.prompt_tokens
         self._ranks[rank].waiting.append(job)
-        if not self._is_passing:
-            self._begin_pass()
+        if not self._is_pass_running:
+            self._start_pass()
         return True
 
     def cancel(self, rank, job):
-        """Drop a job whose caller has left."""
+        """Remove a job whose caller has disconnected."""
         for jobs in (self._ranks[rank].running, self._ranks[rank].waiting):
             if job in jobs:
                 jobs.remove(job)
 
     def lose(self, for_s):
-        """Lose all jobs; open again after a time."""
+        """Lose all jobs; reopen ``for_s`` plus ``forming_s`` later."""
         self.is_open = False
-        self._life += 1
-        self._is_passing = False
-        lost = [
+        self._incarnation += 1
+        self._is_pass_running = False
+        lost_jobs = [
             job for rank in self._ranks for job in rank.running + rank.waiting
         ]
         self._ranks = [_Rank() for _ in self._ranks]
-        for job in lost:
+        for job in lost_jobs:
             job.on_lost()
-        self._clock.call_after(for_s + self._engines.forming_s, self._open)
+        self._clock.call_after(for_s + self._engines.forming_s, self._reopen)
 
-    def _open(self):
+    def _reopen(self):
         self.is_open = True
 
-    def _begin_pass(self):
+    def _start_pass(self):
         for rank in self._ranks:
-            free = self._engines.slots - len(rank.running)
-            rank.running.extend(rank.waiting[:free])
-            del rank.waiting[:free]
+            free_slots = self._engines.slots - len(rank.running)
+            rank.running.extend(rank.waiting[:free_slots])
+            del rank.waiting[:free_slots]
         if not any(rank.running for rank in self._ranks):
-            self._is_passing = False
+            self._is_pass_running = False
             return
-        self._is_passing = True
-        planned = [self._plan(rank) for rank in self._ranks]
-        pass_s = self._find_pass_s([added_ms for added_ms, _ in planned])
-        self.passes += 1
-        self.passing_s += pass_s
-        readings = [reading for _, reading in planned]
-        self._clock.call_after(pass_s, self._end_pass, self._life, readings)
-
-    def _plan(self, rank):
-        """Return what a rank adds to a pass, in ms, and what it reads."""
+        self._is_pass_running = True
+        plans = [self._plan_pass(rank) for rank in self._ranks]
+        pass_s = self._calculate_pass_s([added_ms for added_ms, _ in plans])
+        self.pass_count += 1
+        self.total_pass_s += pass_s
+        chunks_by_rank = [prompt_chunks for _, prompt_chunks in plans]
+        self._clock.call_after(
+            pass_s, self._end_pass, self._incarnation, chunks_by_rank
+        )
+
+    def _plan_pass(self, rank):
+        """Return the ms that a rank adds to a pass, and its prompt chunks.
+
+        A prompt chunk is a pair of a job and the tokens to read for it.
+        """
         engines = self._engines
         added_ms = 0.0
-        left = engines.chunk * engines.stride
-        reading = []
+        budget_tokens = engines.chunk * engines.stride
+        prompt_chunks = []
         for job in rank.running:
-            if job.unread:
-                tokens = min(job.unread, left)
-                left -= tokens
-                reading.append((job, tokens))
+            if job.unread_tokens:
+                tokens = min(job.unread_tokens, budget_tokens)
+                budget_tokens -= tokens
+                prompt_chunks.append((job, tokens))
                 added_ms += tokens / engines.read_per_ms
                 continue
-            context = job.prompt_tokens + job.written * engines.stride
+            context_tokens = (
+                job.prompt_tokens + job.generated_events * engines.stride
+            )
             added_ms += engines.stride * (
-                engines.writer_ms + engines.context_ms * context / 1000
+                engines.writer_ms + engines.context_ms * context_tokens / 1000
             )
-        return added_ms, reading
+        return added_ms, prompt_chunks
 
-    def _find_pass_s(self, added_ms):
+    def _calculate_pass_s(self, added_ms):
         engines = self._engines
         mean_ms = sum(added_ms) / len(added_ms)
-        own_ms = (1 - engines.expert_share) * max(added_ms)
+        other_ms = (1 - engines.expert_share) * max(added_ms)
         experts_ms = engines.expert_share * mean_ms * self.peak
-        steps_ms = engines.stride * engines.step_ms
-        return (steps_ms + own_ms + experts_ms) / 1000
+        base_ms = engines.stride * engines.step_ms
+        return (base_ms + other_ms + experts_ms) / 1000
 
-    def _end_pass(self, life, readings):
-        if life != self._life:
+    def _end_pass(self, incarnation, chunks_by_rank):
+        if incarnation != self._incarnation:
             return
-        for rank, reading in zip(self._ranks, readings, strict=True):
-            read = {id(job) for job, _ in reading}
-            for job, tokens in reading:
-                job.unread -= tokens
+        for rank, prompt_chunks in zip(
+            self._ranks, chunks_by_rank, strict=True
+        ):
+            reading_job_ids = {id(job) for job, _ in prompt_chunks}
+            for job, tokens in prompt_chunks:
+                job.unread_tokens -= tokens
             for job in list(rank.running):
-                if id(job) not in read and not job.unread:
-                    self._write(rank, job)
-        self._begin_pass()
+                if id(job) not in reading_job_ids and not job.unread_tokens:
+                    self._generate_event(rank, job)
+        self._start_pass()
 
-    def _write(self, rank, job):
-        job.written += 1
-        if job.written >= job.events:
+    def _generate_event(self, rank, job):
+        job.generated_events += 1
+        if job.generated_events >= job.events:
             rank.running.remove(job)
-        job.on_event(job.written)
+        job.on_event(job.generated_events)
--- a/packages/savoryyoke-emulator/savoryyoke_emulator/entries.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/entries.py
@@ -1,4 +1,4 @@
-"""Emulate entries that place requests by the product's own decisions."""
+"""Emulate entries that place requests with ``savoryyoke.placement``."""
 
 from savoryyoke.placement import conf as placement_conf
 from savoryyoke.placement import decisions
@@ -11,7 +11,7 @@
 
 
 def build_targets(engines, *, is_open):
-    """Return the ranks of a group as they are published."""
+    """Return the published targets of a group, one per rank."""
     return tuple(
         models.Target(
             target_id=str(rank),
@@ -30,12 +30,12 @@
 
 
 class Entry:
-    """Own the dispatcher of one entry.
+    """Run the dispatcher of one entry.
 
     ``on_decision(request_id, decision)`` is called once for each request.
     """
 
-    def __init__(self, *, fleet, source, clock, on_decision):
+    def __init__(self, *, fleet, random_source, clock, on_decision):
         self._clock = clock
         self._on_decision = on_decision
         self.is_up = True
@@ -47,17 +47,17 @@
                 policy=policy,
                 is_engine=True,
                 own_data_centre='dc',
-                random_fraction=source.random,
+                random_fraction=random_source.random,
             ),
-            random_fraction=source.random,
+            random_fraction=random_source.random,
         )
 
     def publish(self, targets):
-        """Take over the published targets."""
+        """Apply a new list of published targets."""
         self._apply(events.TargetsChanged(targets=targets))
 
     def report_peer(self, peer_id, requests_by_target_id):
-        """Take over what another entry has in flight."""
+        """Apply another entry's number of requests in flight per target."""
         self._apply(
             events.PeerReported(
                 peer_id=peer_id, requests_by_target_id=requests_by_target_id
@@ -65,20 +65,20 @@
         )
 
     def own_in_flight(self):
-        """Return the requests in flight by target id."""
+        """Return this entry's number of requests in flight by target id."""
         return self._dispatcher.pool.own_in_flight()
 
-    def ask(self, arrival):
-        """Take a request in."""
+    def receive(self, arrival):
+        """Pass a ``RequestArrived`` event to the dispatcher."""
         self._apply(arrival)
         self._clock.call_at(arrival.wait_until_s, self.tick)
 
     def withdraw(self, request_id):
-        """Drop a request that waits."""
+        """Remove a waiting request from the queue."""
         self._apply(events.RequestWithdrawn(request_id=request_id))
 
     def end_try(self, target_id, *, service_time_s):
-        """Report a try's end; ``service_time_s`` is None if it failed."""
+        """Report the end of a try; ``service_time_s`` is None if it failed."""
         result = models.TryResult.ANSWERED
         if service_time_s is None:
             result = models.TryResult.BROKEN
@@ -92,7 +92,7 @@
         )
 
     def tick(self):
-        """Let time pass."""
+        """Let the dispatcher act on deadlines that have passed."""
         self._apply(events.Ticked())
 
     def _apply(self, event):
@@ -103,5 +103,5 @@
 
 
 def is_placed(decision):
-    """Tell whether a decision sends the request to a target."""
+    """Return whether a decision sends the request to a target."""
     return isinstance(decision, decisions.Place)
--- a/packages/savoryyoke-emulator/savoryyoke_emulator/exceptions.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/exceptions.py
@@ -1,8 +1,8 @@
-"""Exceptions of the emulator."""
+"""Define the exceptions of the emulator."""
 
 
 class InvalidExperiment(Exception):
-    """Report everything that is wrong with an experiment's file."""
+    """Report all problems of an experiment's file."""
 
     def __init__(self, problems):
         super().__init__('\n'.join(problems))
--- a/packages/savoryyoke-emulator/savoryyoke_emulator/experiments.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/experiments.py
@@ -7,7 +7,7 @@
 from savoryyoke_emulator import exceptions
 from savoryyoke_emulator import models
 
-_PARTS = {
+_CLASSES_BY_PART = {
     'engines': models.Engines,
     'traffic': models.Traffic,
     'fleet': models.Fleet,
@@ -16,7 +16,7 @@
 
 
 def load(path):
-    """Return the ``models.Experiment`` in a file.
+    """Return the ``models.Experiment`` in the TOML file at ``path``.
 
     Raise ``InvalidExperiment`` with all problems at once.
     """
@@ -28,11 +28,14 @@
 
 
 def build(document):
-    """Return the ``models.Experiment`` in a decoded file."""
+    """Return the ``models.Experiment`` in a decoded TOML document.
+
+    Raise ``InvalidExperiment`` with all problems at once.
+    """
     problems = []
     parts = {
         name: _build_part(name, kind, document.get(name), problems)
-        for name, kind in _PARTS.items()
+        for name, kind in _CLASSES_BY_PART.items()
     }
     troubles = tuple(
         _build_trouble(number, raw, problems)
@@ -41,38 +44,41 @@
     for name, kind in (('name', str), ('seconds', (int, float))):
         if not isinstance(document.get(name), kind):
             problems.append(f'{name}: is missing or of another type')
-    known = {*_PARTS, 'trouble', 'name', 'seconds'}
-    problems.extend(f'{name}: is unknown' for name in document.keys() - known)
+    known_names = {*_CLASSES_BY_PART, 'trouble', 'name', 'seconds'}
+    problems.extend(
+        f'{name}: is unknown' for name in document.keys() - known_names
+    )
     if problems:
         raise exceptions.InvalidExperiment(sorted(problems))
     return models.Experiment(
         name=document['name'],
         seconds=float(document['seconds']),
-        troubles=tuple(sorted(troubles, key=lambda x: x.at_s)),
+        troubles=tuple(sorted(troubles, key=lambda trouble: trouble.at_s)),
         **parts,
     )
 
 
 def change(experiment, text):
-    """Return an experiment with values changed.
+    """Return an experiment with the changes in ``text`` applied.
 
-    ``text`` is such as ``fleet.engine_requests=4+maps.even=1.2``.
+    An example of ``text`` is ``fleet.engine_requests=4+maps.even=1.2``.
+    Raise ``InvalidExperiment`` for an unknown field or an invalid value.
     """
-    for one in text.split('+'):
-        experiment = _change_one(experiment, one)
+    for assignment in text.split('+'):
+        experiment = _apply_assignment(experiment, assignment)
     return experiment
 
 
-def _change_one(experiment, text):
-    place, _, raw = text.partition('=')
-    part_name, _, name = place.partition('.')
+def _apply_assignment(experiment, assignment):
+    path, _, raw = assignment.partition('=')
+    part_name, _, name = path.partition('.')
     part = getattr(experiment, part_name, None)
-    if part_name not in _PARTS or not hasattr(part, name):
-        raise exceptions.InvalidExperiment([f'{place}: is unknown'])
+    if part_name not in _CLASSES_BY_PART or not hasattr(part, name):
+        raise exceptions.InvalidExperiment([f'{path}: is unknown'])
     try:
         value = type(getattr(part, name))(raw)
     except ValueError as error:
-        raise exceptions.InvalidExperiment([f'{place}: {error}']) from error
+        raise exceptions.InvalidExperiment([f'{path}: {error}']) from error
     changed = dataclasses.replace(part, **{name: value})
     return dataclasses.replace(experiment, **{part_name: changed})
 
@@ -82,16 +88,16 @@
         problems.append(f'{name}: is missing')
         return None
     fields = {field.name: field.type for field in dataclasses.fields(kind)}
-    wrong = [
+    part_problems = [
         f'{name}.{field}: is missing or no number'
         for field in fields
         if type(raw.get(field)) not in (int, float)
     ]
-    wrong.extend(
+    part_problems.extend(
         f'{name}.{field}: is unknown' for field in raw.keys() - fields.keys()
     )
-    problems.extend(wrong)
-    if wrong:
+    problems.extend(part_problems)
+    if part_problems:
         return None
     return kind(**{field: fields[field](raw[field]) for field in fields})
 
--- a/packages/savoryyoke-emulator/savoryyoke_emulator/models.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/models.py
@@ -1,4 +1,8 @@
-"""What an experiment describes. Times are in seconds unless named."""
+"""Define the parts of an experiment and the outcomes of its requests.
+
+The suffix of a field names its unit: ``_s`` for seconds, ``_ms`` for
+milliseconds.
+"""
 
 import dataclasses
 import enum
@@ -6,14 +10,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Engines:
-    """Describe a group of engines that pass together.
-
-    A pass of a rank takes ``stride`` steps of ``step_ms`` each. Each writer
-    adds ``writer_ms`` a step and ``context_ms`` for 1,000 tokens of its
-    context; prompts are read at ``read_per_ms`` tokens, ``chunk`` a step at
-    most. The share ``expert_share`` of what writers and prompts add is done
-    by experts, whose most loaded rank has ``peak`` times the mean; the first
-    event of a stream is ``first_ms`` late.
+    """Describe a group of engines whose ranks run each pass in lockstep.
+
+    Each of the ``ranks`` runs up to ``slots`` streams at a time. A pass takes
+    ``stride`` steps of ``step_ms`` each. Each stream that generates tokens
+    adds ``writer_ms`` to a step, and ``context_ms`` per 1,000 tokens of its
+    context. Prompts are processed at ``read_per_ms`` tokens per millisecond,
+    at most ``chunk`` tokens a step. Experts do the fraction ``expert_share``
+    of this added work; their most loaded rank has ``EngineGroup.peak`` times
+    the mean load. The first event of a stream arrives ``first_ms`` later than
+    its pass ends. A group that was lost takes ``forming_s`` to form again.
     """
 
     ranks: int
@@ -31,11 +37,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Traffic:
-    """Describe requests for streams.
-
-    ``aim_s`` bounds the first event, ``pause_s`` the time between two;
-    ``late_worth`` is the part of the worth that is left beyond them. Callers
-    leave a try without an event after ``silence_s``.
+    """Describe the requests for streams.
+
+    Requests arrive at ``per_s`` per second; ``prompt_tokens`` and ``events``
+    are their mean sizes, and ``spread`` is the sigma of the log-normal
+    distribution of ``events``. A stream is on time if its first event arrives
+    within ``aim_s`` and each further one within ``pause_s`` of the previous; a
+    late stream earns the fraction ``late_worth`` of the credit. A caller
+    abandons a try that has no event after ``silence_s``, retries at most
+    ``retries`` times, and gives up after ``deadline_s``. ``callers_away_s`` is
+    the network delay between callers and entries.
     """
 
     per_s: float
@@ -55,9 +66,11 @@
 class Fleet:
     """Describe the entries.
 
-    ``engine_requests`` bounds what they have at one engine, ``wait_share``
-    is the part of the aim that a request may wait at an entry, and
-    ``late_wait_s`` what one waits that can't be on time any more.
+    Each entry sends a heartbeat every ``heartbeat_s``; it arrives after
+    ``between_s``. ``engine_requests`` limits the requests in flight at one
+    engine. A request waits at an entry for at most the fraction
+    ``wait_share`` of ``Traffic.aim_s``, or for ``late_wait_s`` if it can no
+    longer be on time.
     """
 
     entries: int
@@ -70,9 +83,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Maps:
-    """Describe how expert maps follow demand.
+    """Describe how expert maps adapt to demand.
 
-    After a shift the peak is ``uneven`` for ``reaction_s``, then ``even``.
+    After a shift of demand, ``EngineGroup.peak`` is ``uneven`` for
+    ``reaction_s``, then ``even``.
     """
 
     even: float
@@ -81,7 +95,7 @@
 
 
 class TroubleKind(enum.Enum):
-    """Name what may happen."""
+    """Name the kinds of disturbances."""
 
     SHIFT = 'shift'
     BURST = 'burst'
@@ -91,11 +105,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Trouble:
-    """Say what happens when.
+    """Describe one disturbance that starts at ``at_s``.
 
-    SHIFT: demand for experts changes. BURST: ``x`` times the traffic.
-    OUTAGE: the group is lost and forms anew after ``for_s``. KILL: all
-    entries are gone for ``for_s`` and forget everything.
+    SHIFT: the demand for experts changes. BURST: requests arrive at ``x``
+    times the usual rate for ``for_s``. OUTAGE: the group fails for ``for_s``
+    and then forms again. KILL: all entries are down for ``for_s`` and restart
+    without state.
     """
 
     kind: TroubleKind
@@ -106,7 +121,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Experiment:
-    """Describe one run; ``quiet_s`` at the end lets requests finish."""
+    """Describe one run.
+
+    Requests arrive for ``seconds``; the run lasts ``Traffic.deadline_s``
+    longer so that the last requests can end.
+    """
 
     name: str
     seconds: float
@@ -118,7 +137,7 @@
 
 
 class Ending(enum.Enum):
-    """Say how a request ended."""
+    """Name how a request ended."""
 
     ON_TIME = 'on-time'
     LATE = 'late'
@@ -128,9 +147,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """Hold how one request ended and what part of its worth it earned."""
+    """Hold how one request ended and the credit it earned.
+
+    ``credit`` is between 0 and 1. ``first_event_s`` counts from the arrival
+    of the request; it is None if no event arrived.
+    """
 
-    asked_s: float
+    arrived_s: float
     ending: Ending
     credit: float
     first_event_s: float | None
--- a/packages/savoryyoke-emulator/savoryyoke_emulator/tables.py
+++ b/packages/savoryyoke-emulator/savoryyoke_emulator/tables.py
@@ -1,16 +1,20 @@
-"""Sum outcomes up and draw them as text."""
+"""Summarize outcomes and format them as text."""
 
 import dataclasses
 import statistics
 
 from savoryyoke_emulator import models
 
-_BARS = ' .:-=+*#%@'
+_CREDIT_LEVELS = ' .:-=+*#%@'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Summary:
-    """Hold the parts of one run's requests, and the credit they earned."""
+    """Hold the statistics of one run.
+
+    ``on_time``, ``late``, ``refused`` and ``lost`` are fractions of the
+    requests, and ``credit`` is their mean credit.
+    """
 
     requests: int
     credit: float
@@ -29,26 +33,28 @@
     count = max(len(outcomes), 1)
 
     def share(ending):
-        return sum(x.ending is ending for x in outcomes) / count
+        return sum(outcome.ending is ending for outcome in outcomes) / count
 
-    first = sorted(
-        x.first_event_s for x in outcomes if x.first_event_s is not None
+    delays_s = sorted(
+        outcome.first_event_s
+        for outcome in outcomes
+        if outcome.first_event_s is not None
     )
     return Summary(
         requests=len(outcomes),
-        credit=sum(x.credit for x in outcomes) / count,
+        credit=sum(outcome.credit for outcome in outcomes) / count,
         on_time=share(models.Ending.ON_TIME),
         late=share(models.Ending.LATE),
         refused=share(models.Ending.REFUSED),
         lost=share(models.Ending.LOST),
-        first_p50_s=first[len(first) // 2] if first else 0.0,
-        first_p99_s=first[len(first) * 99 // 100] if first else 0.0,
+        first_p50_s=delays_s[len(delays_s) // 2] if delays_s else 0.0,
+        first_p99_s=delays_s[len(delays_s) * 99 // 100] if delays_s else 0.0,
         pass_s=result.pass_s,
     )
 
 
 def average(summaries):
-    """Return the mean of several runs."""
+    """Return a ``Summary`` with the mean of each field."""
     return Summary(
         **{
             field.name: statistics.fmean(
@@ -59,20 +65,29 @@
     )
 
 
-def draw_credit(outcomes, *, seconds):
-    """Return a line of one character a second: the credit, blank to @."""
-    drawn = []
+def format_credit_line(outcomes, *, seconds):
+    """Return one character per second that shows the mean credit.
+
+    A blank stands for the lowest credit and ``@`` for the highest.
+    """
+    characters = []
     for second in range(int(seconds)):
         credits = [
-            x.credit for x in outcomes if second <= x.asked_s < second + 1
+            outcome.credit
+            for outcome in outcomes
+            if second <= outcome.arrived_s < second + 1
         ]
         level = statistics.fmean(credits) if credits else 0.0
-        drawn.append(_BARS[min(int(level * len(_BARS)), len(_BARS) - 1)])
-    return ''.join(drawn)
+        characters.append(
+            _CREDIT_LEVELS[
+                min(int(level * len(_CREDIT_LEVELS)), len(_CREDIT_LEVELS) - 1)
+            ]
+        )
+    return ''.join(characters)
 
 
 def format_row(label, summary):
-    """Return one line of the table."""
+    """Return one row of the table."""
     return (
         f'{label:32} {summary.requests:7.0f} {summary.credit:7.3f}'
         f' {summary.on_time:7.3f} {summary.late:6.3f} {summary.refused:7.3f}'
@@ -82,7 +97,7 @@
 
 
 def format_head():
-    """Return the head of the table."""
+    """Return the row of column heads."""
     return (
         f'{"policy":32} {"asked":>7} {"credit":>7} {"on time":>7} {"late":>6}'
         f' {"refused":>7} {"lost":>5} {"p50 ms":>6} {"p99 ms":>6}'
--- a/packages/savoryyoke-emulator/tests/support.py
+++ b/packages/savoryyoke-emulator/tests/support.py
@@ -12,7 +12,7 @@
 
 
 def build_experiment(*troubles, seconds=8.0, **traffic):
-    """Return a short experiment on the users' group."""
+    """Return a short experiment with the engines of claims-quiet.toml."""
     loaded = experiments.load(QUIET)
     return dataclasses.replace(
         loaded,
@@ -23,5 +23,5 @@
 
 
 def build_trouble(kind, **fields):
-    """Return a trouble."""
+    """Return a ``Trouble`` of the kind named ``kind``."""
     return models.Trouble(kind=models.TroubleKind(kind), **fields)
--- a/packages/savoryyoke-emulator/tests/test_emulation.py
+++ b/packages/savoryyoke-emulator/tests/test_emulation.py
@@ -1,4 +1,4 @@
-"""Test whole runs."""
+"""Test complete runs of the emulator."""
 
 import unittest
 
@@ -16,19 +16,19 @@
 
 
 class EmulationTests(unittest.TestCase):
-    def test_run_follows_from_its_seed(self):
+    def test_run_is_determined_by_its_seed(self):
         experiment = support.build_experiment()
-        first = emulation.play(experiment, seed=3)
-        self.assertEqual(first, emulation.play(experiment, seed=3))
-        self.assertNotEqual(first, emulation.play(experiment, seed=4))
+        first_result = emulation.play(experiment, seed=3)
+        self.assertEqual(first_result, emulation.play(experiment, seed=3))
+        self.assertNotEqual(first_result, emulation.play(experiment, seed=4))
 
     def test_each_request_ends_once(self):
         experiment = experiments.load(support.HEAVY)
         result = emulation.play(experiment, seed=1)
-        asked = sorted(x.asked_s for x in result.outcomes)
-        self.assertEqual(len(asked), len(set(asked)))
+        arrivals_s = sorted(outcome.arrived_s for outcome in result.outcomes)
+        self.assertEqual(len(arrivals_s), len(set(arrivals_s)))
         expected = experiment.traffic.per_s * experiment.seconds
-        self.assertGreater(len(asked), 0.9 * expected)
+        self.assertGreater(len(arrivals_s), 0.9 * expected)
 
     def test_quiet_load_is_on_time(self):
         self.assertGreater(run().on_time, 0.95)
@@ -51,13 +51,13 @@
         self.assertGreater(summary.refused, 0.1)
         self.assertGreater(summary.on_time + summary.late, 0.2)
 
-    def test_lost_group_costs_what_it_was_asked(self):
+    def test_outage_of_the_group_costs_credit(self):
         outage = support.build_trouble('outage', at_s=3.0, for_s=3.0)
         summary = run(outage)
         self.assertLess(summary.credit, run().credit - 0.2)
         self.assertGreater(summary.refused, 0.1)
 
-    def test_killed_entries_come_back(self):
+    def test_killed_entries_are_restarted(self):
         kill = support.build_trouble('kill', at_s=3.0, for_s=0.5)
         summary = run(kill)
         self.assertGreater(summary.credit, 0.6)
@@ -65,19 +65,24 @@
 
 
 class TableTests(unittest.TestCase):
-    def test_parts_add_up(self):
+    def test_fractions_add_up_to_one(self):
         outage = support.build_trouble('outage', at_s=3.0, for_s=3.0)
         summary = run(outage)
-        parts = (summary.on_time, summary.late, summary.refused, summary.lost)
-        self.assertAlmostEqual(1.0, sum(parts))
+        fractions = (
+            summary.on_time,
+            summary.late,
+            summary.refused,
+            summary.lost,
+        )
+        self.assertAlmostEqual(1.0, sum(fractions))
 
-    def test_credit_is_drawn_a_character_a_second(self):
+    def test_credit_line_has_one_character_per_second(self):
         experiment = support.build_experiment()
         result = emulation.play(experiment, seed=1)
-        line = tables.draw_credit(result.outcomes, seconds=8.0)
+        line = tables.format_credit_line(result.outcomes, seconds=8.0)
         self.assertEqual('@' * 8, line)
-        self.assertEqual(' ' * 3, tables.draw_credit((), seconds=3.0))
+        self.assertEqual(' ' * 3, tables.format_credit_line((), seconds=3.0))
 
-    def test_row_stands_under_its_head(self):
+    def test_row_is_as_wide_as_the_column_heads(self):
         row = tables.format_row('as it is', run(seconds=2.0))
         self.assertEqual(len(tables.format_head()), len(row))
--- a/packages/savoryyoke-emulator/tests/test_experiments.py
+++ b/packages/savoryyoke-emulator/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""Test the reading of experiments."""
+"""Test the loading and changing of experiments."""
 
 import tomllib
 import unittest
@@ -14,14 +14,14 @@
     def setUp(self):
         self.document = tomllib.loads(support.HEAVY.read_text())
 
-    def assert_problems(self, *wanted):
+    def assert_problems(self, *expected_texts):
         """Check that all problems are reported at once."""
         with self.assertRaises(exceptions.InvalidExperiment) as caught:
             experiments.build(self.document)
-        for text in wanted:
+        for text in expected_texts:
             self.assertIn(text, str(caught.exception))
 
-    def test_files_that_come_along_are_valid(self):
+    def test_shipped_experiments_are_valid(self):
         for path in sorted(support.DIRECTORY.glob('*.toml')):
             with self.subTest(path=path.name):
                 self.assertTrue(experiments.load(path).name)
@@ -29,7 +29,8 @@
     def test_troubles_are_in_order_of_time(self):
         troubles = experiments.load(support.HEAVY).troubles
         self.assertEqual(
-            sorted(x.at_s for x in troubles), [x.at_s for x in troubles]
+            sorted(trouble.at_s for trouble in troubles),
+            [trouble.at_s for trouble in troubles],
         )
         self.assertIs(models.TroubleKind.KILL, troubles[-1].kind)
 
@@ -47,7 +48,7 @@
             'colour: is unknown',
         )
 
-    def test_torn_and_missing_files_are_reported(self):
+    def test_missing_file_is_reported(self):
         with self.assertRaises(exceptions.InvalidExperiment):
             experiments.load(support.DIRECTORY / 'none.toml')
 
@@ -64,7 +65,7 @@
         self.assertEqual(1.2, changed.maps.even)
         self.assertEqual(1, changed.fleet.entries)
 
-    def test_change_of_nothing_known_is_refused(self):
+    def test_invalid_changes_are_refused(self):
         loaded = experiments.build(self.document)
         for text in ('fleet.colour=4', 'colour=4', 'fleet.entries=many'):
             with self.subTest(text=text):
