--- a/packages/savoryyoke-soak/savoryyoke_soak/__init__.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/__init__.py
@@ -1,5 +1,5 @@
 """Run the platform's entry daemons under random faults and check promises.
 
-Entries and stand-ins for replicas are processes of their own on loopback;
-the store, the proxies and the callers belong to the driving process.
+Each entry and each fake target is a process on the loopback interface. The
+store, the proxies and the callers run in the process of the soak itself.
 """
--- a/packages/savoryyoke-soak/savoryyoke_soak/backend.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/backend.py
@@ -1,9 +1,9 @@
-"""Stand in for one target, as a process.
+"""Run a fake target as a process.
 
-Prints its address, then one line for each run as it begins, and one for each
-request that it turns away while it is busy. Signals change it: SIGUSR1 lets
-it say that it leaves, SIGUSR2 lets it ask for a pause for a while, and SIGHUP
-lets it answer some requests with bytes without end.
+The process prints its address, then one line for each run that starts and
+one for each request that it refuses while it is busy. Signals change its
+behaviour. SIGUSR1: its answers announce that it is leaving. SIGUSR2: it asks
+for a pause for ``conf.BUSY_FOR_S``. SIGHUP: its next answers never end.
 """
 
 import os
@@ -18,7 +18,7 @@
 from savoryyoke_soak import conf
 
 
-_ENDLESS = (
+_ENDLESS_ODDITIES = (
     replica.Oddity.DRIPPED_BODY,
     replica.Oddity.ENDLESS_HEAD,
     replica.Oddity.DRIPPED_HEAD,
@@ -26,10 +26,10 @@
 
 
 class PrintedRuns:
-    """Print runs, so that those of a killed process are known too."""
+    """Print each run at once, so that a killed process loses none."""
 
     def append(self, run):
-        """Print one run; end the process if the request is fatal."""
+        """Print one run; exit the process if the request is fatal."""
         request_id = run.request.headers.get('x-request-id', '')
         print(f'run {request_id} {time.monotonic():.6f}', flush=True)
         if run.request.body.startswith(conf.FATAL_BODY):
@@ -37,20 +37,20 @@
 
 
 class PrintedArrivals:
-    """Print the requests that come while the target is busy."""
+    """Print the requests that arrive while the target is busy."""
 
     def __init__(self):
-        self.busy = False
+        self.is_busy = False
 
     def append(self, request):
-        """Print one request if it is going to be turned away."""
-        if self.busy:
+        """Print one request if the target is busy and will refuse it."""
+        if self.is_busy:
             request_id = request.headers.get('x-request-id', '')
             print(f'busy {request_id} {time.monotonic():.6f}', flush=True)
 
 
-async def change(fake):
-    """Follow signals until cancelled."""
+async def handle_signals(fake):
+    """Change the target's behaviour on each signal, until cancelled."""
     with anyio.open_signal_receiver(
         signal.SIGUSR1, signal.SIGUSR2, signal.SIGHUP
     ) as signals:
@@ -58,15 +58,15 @@
             if received is signal.SIGUSR1:
                 fake.is_leaving = True
             elif received is signal.SIGHUP:
-                fake.oddities.extend(_ENDLESS)
+                fake.oddities.extend(_ENDLESS_ODDITIES)
             else:
-                fake.pause, fake.arrivals.busy = str(conf.PAUSE_S), True
+                fake.pause, fake.arrivals.is_busy = str(conf.PAUSE_S), True
                 await anyio.sleep(conf.BUSY_FOR_S)
-                fake.pause, fake.arrivals.busy = None, False
+                fake.pause, fake.arrivals.is_busy = None, False
 
 
 async def serve(target_id):
-    """Serve until killed."""
+    """Serve as the target ``target_id`` until killed."""
     fake = replica.FakeReplica(
         replica_id=target_id,
         common_oddities=[],
@@ -76,7 +76,7 @@
     )
     fake.arrivals = PrintedArrivals()
     async with anyio.create_task_group() as group:
-        group.start_soon(change, fake)
+        group.start_soon(handle_signals, fake)
         host, port = await group.start(fake.serve)
         print(f'address {host} {port}', flush=True)
 
--- a/packages/savoryyoke-soak/savoryyoke_soak/callers.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/callers.py
@@ -1,4 +1,4 @@
-"""Send requests as the platform's callers do."""
+"""Send requests the way that the platform's callers do."""
 
 import itertools
 import time
@@ -22,23 +22,26 @@
     httpcore.ProtocolError,
     httpcore.TimeoutException,
 )
-_NUMBERS = itertools.count(1)
+_REQUEST_NUMBERS = itertools.count(1)
 
 
 class Caller:
-    """Own one caller's connection and the answers of the directory.
+    """Send the requests of one caller over one connection.
 
-    ``directories()`` returns addresses of directories, ``find_life(address)``
-    the run of the entry that serves a callers' address.
+    ``get_directories()`` returns the addresses of the directories.
+    ``find_incarnation(address)`` returns the name of the entry process that
+    serves a caller address.
     """
 
-    def __init__(self, *, history, source, directories, find_life):
+    def __init__(
+        self, *, history, random_source, get_directories, find_incarnation
+    ):
         self._history = history
-        self._source = source
-        self._directories = directories
-        self._find_life = find_life
+        self._random = random_source
+        self._get_directories = get_directories
+        self._find_incarnation = find_incarnation
         self._addresses = []
-        self._asked_s = None
+        self._directory_read_s = None
         self._ttl_s = 0.0
         self._pool = httpcore.AsyncConnectionPool(max_connections=1)
 
@@ -47,43 +50,54 @@
         while not stopped.is_set():
             address = await self._choose_entry()
             if address is not None:
-                kind = self._source.choice(list(records.Kind))
-                self._history.calls.append(await self._call(address, kind))
+                kind = self._random.choice(list(records.Kind))
+                self._history.calls.append(
+                    await self._send_request(address, kind)
+                )
             await anyio.sleep(
-                self._source.expovariate(1) * conf.CALLER_PAUSE_S
+                self._random.expovariate(1) * conf.CALLER_PAUSE_S
             )
         await self._pool.aclose()
 
-    async def repeat(self, body, *, for_s):
-        """Send payments with the same body, each with an id of its own."""
+    async def send_repeatedly(self, body, *, for_s):
+        """Send payments with the same body but different request ids."""
         kind = records.Kind.PAYMENT
         ends_s = time.monotonic() + for_s
         while time.monotonic() < ends_s:
             address = await self._choose_entry()
             if address is not None:
-                call = await self._call(address, kind, body=body)
+                call = await self._send_request(address, kind, body=body)
                 self._history.calls.append(call)
             await anyio.sleep(conf.FATAL_PAUSE_S)
         await self._pool.aclose()
 
     async def _choose_entry(self):
         now_s = time.monotonic()
-        if self._asked_s is None or now_s - self._asked_s > self._ttl_s:
-            await self._ask_directory()
-            if self._is_too_old(now_s):
+        if (
+            self._directory_read_s is None
+            or now_s - self._directory_read_s > self._ttl_s
+        ):
+            await self._refresh_directory()
+            if self._is_directory_outdated(now_s):
                 return None
-        return self._source.choice(self._addresses)
+        return self._random.choice(self._addresses)
 
-    def _is_too_old(self, now_s):
-        """Tell whether the last answer must not be used any longer."""
-        if self._asked_s is None:
+    def _is_directory_outdated(self, now_s):
+        """Return whether the last directory answer is too old to be used."""
+        if self._directory_read_s is None:
             return True
-        return now_s - self._asked_s > conf.DIRECTORY_KEPT_TIMES * self._ttl_s
+        return (
+            now_s - self._directory_read_s
+            > conf.DIRECTORY_MAX_AGE_TTLS * self._ttl_s
+        )
+
+    async def _refresh_directory(self):
+        """Query the directories in random order until one answers.
 
-    async def _ask_directory(self):
-        """Ask the entries in turn; keep the old answer if none answers."""
-        asked = self._directories()
-        for address in self._source.sample(asked, len(asked)):
+        Keep the previous answer if none does.
+        """
+        directories = self._get_directories()
+        for address in self._random.sample(directories, len(directories)):
             try:
                 with anyio.fail_after(0.5):
                     async with httpcore.AsyncConnectionPool() as pool:
@@ -97,18 +111,18 @@
                 self._addresses, self._ttl_s = published.read_directory(
                     answer.content
                 )
-                self._asked_s = time.monotonic()
+                self._directory_read_s = time.monotonic()
                 return
 
-    async def _call(self, address, kind, *, body=b''):
-        request_id = f'{kind.value}-{next(_NUMBERS)}'
-        life = self._find_life(address)
+    async def _send_request(self, address, kind, *, body=b''):
+        request_id = f'{kind.value}-{next(_REQUEST_NUMBERS)}'
+        incarnation = self._find_incarnation(address)
         sent_s = time.monotonic()
-        status, answered_id, received = None, None, b''
-        is_whole, broken, leaving_id = False, None, None
+        status, answered_request_id, received = None, None, b''
+        is_complete, failure, leaving_id = False, None, None
         try:
-            # A caller that gets nothing leaves in the end.
-            with anyio.fail_after(conf.DEADLINE_S + 3 * conf.BUSY_S):
+            # The caller gives up on a request that is not answered.
+            with anyio.fail_after(conf.DEADLINE_S + 3 * conf.MACHINE_DELAY_S):
                 async with self._pool.stream(
                     _METHODS_BY_KIND[kind],
                     f'http://{address}/{kind.value}/x',
@@ -116,41 +130,44 @@
                     content=body,
                 ) as answer:
                     status = answer.status
-                    answered_id = _find_header(answer, b'x-request-id')
+                    answered_request_id = _find_header(answer, b'x-request-id')
                     if _find_header(answer, b'server-leaving'):
                         seal = _find_header(answer, b'x-server-seal') or ''
                         leaving_id = seal.removeprefix('seal-')
-                    async for part in answer.aiter_stream():
-                        received += part
-            is_whole = True
+                    async for data in answer.aiter_stream():
+                        received += data
+            is_complete = True
         except (TimeoutError, *_FAILURES) as error:
-            broken = type(error).__name__
+            failure = type(error).__name__
         return records.Call(
             request_id=request_id,
             kind=kind,
-            life=life,
+            incarnation=incarnation,
             sent_s=sent_s,
             ended_s=time.monotonic(),
             status=status,
             body=received,
             sent_body=body,
-            answered_id=answered_id,
-            is_whole=is_whole,
-            broken=broken,
+            answered_request_id=answered_request_id,
+            is_complete=is_complete,
+            failure=failure,
             leaving_id=leaving_id,
         )
 
 
 async def probe(address, version):
-    """Return whether an entry has a version in force; None if unknown."""
+    """Return whether an entry has a configuration version in force.
+
+    Return None if the entry does not answer.
+    """
     try:
-        with anyio.fail_after(conf.BUSY_S):
+        with anyio.fail_after(conf.MACHINE_DELAY_S):
             async with httpcore.AsyncConnectionPool() as pool:
                 answer = await pool.request(
                     'GET',
                     f'http://{address}/version-{version}/x',
                     headers=_build_headers(
-                        f'probe-{next(_NUMBERS)}', records.Kind.LOOKUP
+                        f'probe-{next(_REQUEST_NUMBERS)}', records.Kind.LOOKUP
                     ),
                 )
     except (TimeoutError, *_FAILURES):
--- a/packages/savoryyoke-soak/savoryyoke_soak/children.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/children.py
@@ -1,4 +1,4 @@
-"""Start and end the processes of the soak, by their ids."""
+"""Start, signal and kill the child processes of the soak."""
 
 import contextlib
 import os
@@ -11,21 +11,21 @@
 
 
 class Child:
-    """Own one process and the lines that it prints.
+    """Run one process and pass on the lines that it prints.
 
-    ``take_line(line)`` is called for each one.
+    ``on_line(line)`` is called for each line of stdout and stderr.
     """
 
-    def __init__(self, *, arguments, environment, take_line):
+    def __init__(self, *, arguments, environment, on_line):
         self._arguments = arguments
         self._environment = environment
-        self._take_line = take_line
+        self._on_line = on_line
         self._process = None
         self._pidfd = None
-        self._ended = anyio.Event()
+        self._has_exited = anyio.Event()
 
     async def run(self, *, task_status):
-        """Run the process to its end; it is killed when cancelled."""
+        """Run the process until it exits; kill it if cancelled."""
         command = [sys.executable, *self._arguments]
         self._process = await anyio.open_process(
             command,
@@ -33,7 +33,8 @@
             stdin=subprocess.DEVNULL,
             stderr=subprocess.STDOUT,
         )
-        # Popen would reap the process while the event loop waits for it.
+        # Popen.send_signal may reap the process while the event loop waits for
+        # it. Signals through a pidfd do not.
         self._pidfd = os.pidfd_open(self._process.pid)
         task_status.started()
         try:
@@ -45,35 +46,41 @@
                 await self._process.wait()
             os.close(self._pidfd)
             self._pidfd = None
-            self._ended.set()
+            self._has_exited.set()
 
     @property
-    def has_ended(self):
-        """Return whether the process has ended."""
-        return self._ended.is_set()
+    def has_exited(self):
+        """Return whether the process has exited."""
+        return self._has_exited.is_set()
 
     async def _read(self):
-        rest = b''
+        partial_line = b''
         async for data in self._process.stdout:
-            *lines, rest = (rest + data).split(b'\n')
+            *lines, partial_line = (partial_line + data).split(b'\n')
             for line in lines:
-                self._take_line(line.decode('utf-8', 'replace'))
+                self._on_line(line.decode('utf-8', 'replace'))
 
-    def signal(self, number):
-        """Send a signal, if the process runs."""
+    def signal(self, signal_number):
+        """Send a signal if the process is running."""
         if self._pidfd is None:
             return
         with contextlib.suppress(ProcessLookupError):
-            signal.pidfd_send_signal(self._pidfd, number)
+            signal.pidfd_send_signal(self._pidfd, signal_number)
 
     def kill(self):
-        """End the process at once; a frozen one too."""
+        """Kill the process, even if it is stopped by SIGSTOP."""
         self.signal(signal.SIGKILL)
 
     async def wait(self, timeout_s):
-        """Return exit status and seconds; None as status if it runs on."""
+        """Wait for the process to exit, for at most ``timeout_s``.
+
+        Return its exit status, or None if it is still running, and the
+        seconds waited.
+        """
         started_s = time.monotonic()
         with anyio.move_on_after(timeout_s):
-            await self._ended.wait()
-        status = self._process.returncode if self._ended.is_set() else None
+            await self._has_exited.wait()
+        status = (
+            self._process.returncode if self._has_exited.is_set() else None
+        )
         return status, time.monotonic() - started_s
--- a/packages/savoryyoke-soak/savoryyoke_soak/conf.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/conf.py
@@ -1,60 +1,67 @@
-"""Figures of the fault soak."""
+"""Define the sizes, durations and bounds of the fault soak."""
 
 ZONES = {'zone-a': 'region', 'zone-b': 'region'}
 
 ENTRIES = 4
 REPLICAS = 4
 CALLERS = 16
-SECONDS = 12.0
-# Callers go on for so long after the last fault has ended.
+# Time during which faults start.
+RUN_S = 12.0
+# Time without faults at the end, in which callers still send requests.
 QUIET_S = 3.0
 
-# Mean time between two faults; most overlap.
+# Mean time between the starts of two faults; most faults overlap.
 FAULT_GAP_S = 0.7
 FAULT_SHORTEST_S = 0.2
 FAULT_LONGEST_S = 2.5
 
-# Routes: what a caller gives a request, and what a replica works on it.
+# Deadline of a request, and time that a fake target works on it.
 DEADLINE_S = 3.0
 WORK_S = 0.02
 STREAM_EVENTS = 12
+# Mean pause of a caller between two requests.
 CALLER_PAUSE_S = 0.03
 
-# Callers keep an answer of the directory for less than three times its TTL.
-DIRECTORY_KEPT_TIMES = 2.5
-# So an entry may be gone this long after it was asked to stop.
-STOPPED_GONE_S = 3.0
+# Callers use a directory answer for less than three times its TTL.
+DIRECTORY_MAX_AGE_TTLS = 2.5
+# For that reason an entry must accept connections for this time after it was
+# asked to stop.
+STOPPED_REACHABLE_S = 3.0
 
-# A caller whose request crashes each target sends it again so soon; the
-# target is back after a while.
+# A caller repeats a request that crashes targets after ``FATAL_PAUSE_S``, for
+# ``FATAL_FOR_S`` and the duration of the fault. A crashed target is replaced
+# after ``TARGET_RETURN_S``.
 FATAL_PAUSE_S = 0.2
 FATAL_FOR_S = 6.0
 FATAL_BODY = b'fatal'
 TARGET_RETURN_S = 0.5
-# What the users grant from the third crash on: time to learn of it, then
-# so many more arrivals.
-CRASHES_TO_LEARN = 3
-LEARNING_S = 3.0
+# Bounds that the users set for a request that crashes targets: from the third
+# crash on, entries have ``CRASH_DETECTION_S`` to detect it; after that, only
+# ``ARRIVALS_AFTER_LIMIT`` more of these requests may reach a target.
+CRASHES_BEFORE_LIMIT = 3
+CRASH_DETECTION_S = 3.0
 ARRIVALS_AFTER_LIMIT = 3
 
-# A busy target turns all requests away for a while, and asks for a pause with
-# each. The users grant two requests in a pause, its first moment left out.
+# A busy target refuses all requests for ``BUSY_FOR_S`` and asks for a pause of
+# ``PAUSE_S`` with each refusal. The users allow two requests per pause, after
+# its first ``PAUSE_GRACE_S``.
 BUSY_FOR_S = 0.4
 PAUSE_S = 2.0
 PAUSE_GRACE_S = 0.5
 ARRIVALS_IN_PAUSE = 2
 
-# A stopped entry finishes what it has begun within this time.
+# An entry that is asked to stop finishes its requests within ``GRACE_S``.
 GRACE_S = 8.0
-STOP_S = GRACE_S + 3.0
+STOP_TIMEOUT_S = GRACE_S + 3.0
 
-# What the users' platform grants: how late configuration may be in force and
-# work may still come to a target that is leaving.
-CONFIGURATION_S = 3.0
-DRAIN_S = 3.0
+# Bounds of the users' platform: time until a configuration must be in force,
+# and time during which a leaving target may still get new work.
+CONFIGURATION_DELAY_S = 3.0
+DRAIN_DELAY_S = 3.0
 
-# A machine that is busy with other tests delays every process.
-BUSY_S = 2.0
+# Extra time in all bounds: other load on the machine delays the processes.
+MACHINE_DELAY_S = 2.0
+# Time between two published versions of the configuration.
 CONFIGURATION_GAP_S = 1.5
-START_S = 20.0
-LINES_SHOWN = 20
+START_TIMEOUT_S = 20.0
+LOG_LINES_SHOWN = 20
--- a/packages/savoryyoke-soak/savoryyoke_soak/faults.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/faults.py
@@ -1,4 +1,4 @@
-"""Draw the faults of one run from its seed."""
+"""Generate the faults of one run from its seed."""
 
 import dataclasses
 import random
@@ -23,8 +23,8 @@
 )
 REQUEST_FAULTS = ('fatal-request',)
 LINK_FAULTS = ('delay', 'reset', 'cut-to', 'cut-from', 'silence')
-# Links fail more often than processes do.
-_WEIGHTED = (
+# Link faults are listed twice so that they are twice as likely.
+_WEIGHTED_KINDS = (
     *ENTRY_FAULTS,
     *STORE_FAULTS,
     *TARGET_FAULTS,
@@ -36,33 +36,39 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fault:
-    """Say what befalls a place, when and for how long."""
+    """Describe a fault of the entry or target with the number ``index``.
+
+    The fault starts ``at_s`` after the start of the run and lasts ``for_s``.
+    """
 
     kind: str
-    place: int
+    index: int
     at_s: float
     for_s: float
 
 
-def draw_faults(*, seed, seconds, entries, targets):
-    """Return the faults of a run in order of time; they may overlap."""
-    source = random.Random(seed)
+def generate_faults(*, seed, seconds, entries, targets):
+    """Return the faults of a run, ordered by start; they may overlap.
+
+    ``entries`` and ``targets`` are the numbers of processes in the fleet.
+    """
+    random_source = random.Random(seed)
     faults = []
     at_s = 0.0
     while True:
-        at_s += source.expovariate(1 / conf.FAULT_GAP_S)
+        at_s += random_source.expovariate(1 / conf.FAULT_GAP_S)
         if at_s >= seconds:
             return tuple(faults)
-        kind = source.choice(_WEIGHTED)
-        places = entries if kind in ENTRY_FAULTS else targets
+        kind = random_source.choice(_WEIGHTED_KINDS)
+        candidates = entries if kind in ENTRY_FAULTS else targets
         if kind in STORE_FAULTS:
-            places = entries
+            candidates = entries
         faults.append(
             Fault(
                 kind=kind,
-                place=source.randrange(places),
+                index=random_source.randrange(candidates),
                 at_s=at_s,
-                for_s=source.uniform(
+                for_s=random_source.uniform(
                     conf.FAULT_SHORTEST_S, conf.FAULT_LONGEST_S
                 ),
             )
--- a/packages/savoryyoke-soak/savoryyoke_soak/fleet.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/fleet.py
@@ -1,4 +1,4 @@
-"""Own the processes and stand-ins of one run of the soak."""
+"""Run the entries, targets, proxies and store of one run of the soak."""
 
 import contextlib
 import json
@@ -19,53 +19,54 @@
 from savoryyoke_soak import records
 
 _SETTINGS_VARIABLE = 'SAVORYYOKE_SETTINGS'
-_PORTS = 16
+_CONTROL_PORTS = 16
 
 
 class StartFailed(Exception):
-    """Report an entry that does not serve, with its last lines."""
+    """Report an entry that does not become ready, with its last log lines."""
 
 
-class EntryPlace:
-    """Hold one entry's addresses, settings and process."""
+class Entry:
+    """Hold the addresses, settings and current process of one entry."""
 
     def __init__(self, *, number, host, directory):
         self.number = number
         self.host = host
-        self.front, self.ready, self.directory = (
+        self.caller_address, self.ready_address, self.directory_address = (
             f'{host}:{port}' for port in sockets.find_ports(host, 3)
         )
         self.settings_path = pathlib.Path(directory, f'entry-{number}.json')
-        self.lives = 0
+        self.start_count = 0
         self.started_s = None
         self.child = None
-        # The run that callers' address belongs to.
-        self.life = f'entry-{number}.0'
+        # Name of the process that serves the caller address.
+        self.incarnation = f'entry-{number}.0'
         self.is_up = False
         self.is_busy = False
-        # Between this entry and the store, and where it listens.
+        # Proxy between this entry and the store, and its address.
         self.proxy = None
-        self.store = None
-        self.lines = []
+        self.store_address = None
+        self.log_lines = []
 
 
-class TargetPlace:
-    """Hold one target's present process and proxy."""
+class Target:
+    """Hold the current process and proxy of one target."""
 
     def __init__(self, *, number):
         self.number = number
-        self.lives = 0
+        self.start_count = 0
         self.child = None
         self.proxy = None
         self.target_id = None
-        self.value = None
+        self.published_value = None
         self.is_busy = False
 
 
 class Fleet:
-    """Start, publish and replace entries and targets.
+    """Start, publish and replace the entries and targets of a run.
 
-    ``arguments`` are those of Python to run an entry.
+    ``arguments`` are the arguments of the Python interpreter that run an
+    entry.
     """
 
     def __init__(self, *, group, directory, history, arguments):
@@ -74,182 +75,193 @@
         self._arguments = arguments
         self.store = fake_store.FakeStore()
         self._store_address = None
-        block = random.SystemRandom().randrange(20, 250)
+        address_block = random.SystemRandom().randrange(20, 250)
         self._control_port = None
         self.entries = [
-            EntryPlace(
+            Entry(
                 number=number,
-                host=f'127.{block}.0.{number + 1}',
+                host=f'127.{address_block}.0.{number + 1}',
                 directory=directory,
             )
             for number in range(conf.ENTRIES)
         ]
         self.targets = [
-            TargetPlace(number=number) for number in range(conf.REPLICAS)
+            Target(number=number) for number in range(conf.REPLICAS)
         ]
         self.version = 0
 
     async def start(self):
-        """Start everything; return when all entries are ready."""
+        """Start the store, all targets and all entries.
+
+        Return when all entries are ready; raise ``StartFailed`` if one is
+        not.
+        """
         self._store_address = await self._group.start(self.store.serve)
         (self._control_port,) = sockets.find_ports(self.entries[0].host, 1)
         self.publish_configuration()
-        for place in self.targets:
-            await self.start_target(place)
-        for place in self.entries:
-            place.proxy = proxies.Proxy(upstream=self._store_address)
-            await self.start_entry(place)
-        for place in self.entries:
-            await self.await_entry(place)
+        for target in self.targets:
+            await self.start_target(target)
+        for entry in self.entries:
+            entry.proxy = proxies.Proxy(upstream=self._store_address)
+            await self.start_entry(entry)
+        for entry in self.entries:
+            await self.wait_until_ready(entry)
 
     def publish_configuration(self):
-        """Publish a further version; each adds a route of its own."""
+        """Publish the next configuration version, which adds its own route."""
         self.version += 1
         names = [kind.value for kind in records.Kind]
-        names.extend(f'version-{x + 1}' for x in range(self.version))
+        names.extend(f'version-{number + 1}' for number in range(self.version))
         configuration = published.build_configuration(
             self.version, Routes=[_build_route(name) for name in names]
         )
         self.store.write('op/config', configuration)
         self._history.written_s_by_version[self.version] = time.monotonic()
 
-    async def start_entry(self, place):
+    async def start_entry(self, entry):
         """Start an entry's process."""
-        if place.lives == 0:
-            address = await self._group.start(place.proxy.serve)
-            place.store = f'{address[0]}:{address[1]}'
-            self.write_settings(place)
-        place.lives += 1
-        place.child = children.Child(
+        if entry.start_count == 0:
+            address = await self._group.start(entry.proxy.serve)
+            entry.store_address = f'{address[0]}:{address[1]}'
+            self.write_settings(entry)
+        entry.start_count += 1
+        entry.child = children.Child(
             arguments=self._arguments,
-            environment={_SETTINGS_VARIABLE: str(place.settings_path)},
-            take_line=place.lines.append,
+            environment={_SETTINGS_VARIABLE: str(entry.settings_path)},
+            on_line=entry.log_lines.append,
         )
-        place.started_s = time.monotonic()
-        await self._group.start(place.child.run)
+        entry.started_s = time.monotonic()
+        await self._group.start(entry.child.run)
 
-    def write_settings(self, place):
+    def write_settings(self, entry):
         """Write an entry's settings file."""
         port = self._control_port
         document = {
-            'Node': f'entry-{place.number}',
-            'Ip': place.host,
-            'Zone': list(conf.ZONES)[place.number % len(conf.ZONES)],
+            'Node': f'entry-{entry.number}',
+            'Ip': entry.host,
+            'Zone': list(conf.ZONES)[entry.number % len(conf.ZONES)],
             'Zones': conf.ZONES,
             'Listen': {
-                'Front': place.front,
-                'Ready': place.ready,
-                'Directory': place.directory,
+                'Front': entry.caller_address,
+                'Ready': entry.ready_address,
+                'Directory': entry.directory_address,
             },
-            'PortRange': [port, port + _PORTS],
-            'Seeds': [f'{x.host}:{port}' for x in self.entries],
+            'PortRange': [port, port + _CONTROL_PORTS],
+            'Seeds': [
+                f'{other_entry.host}:{port}' for other_entry in self.entries
+            ],
             'Bounds': {
                 'GraceS': conf.GRACE_S,
                 'RetryRatio': 0.2,
                 'RetrySlack': 92,
             },
-            'Provider': {'Addr': place.store},
+            'Provider': {'Addr': entry.store_address},
         }
-        place.settings_path.write_text(json.dumps(document))
+        entry.settings_path.write_text(json.dumps(document))
 
-    async def await_entry(self, place):
-        """Return when an entry's process serves; its life begins.
+    async def wait_until_ready(self, entry):
+        """Wait until a started entry is ready, and set its incarnation.
 
-        Raise ``StartFailed`` where it does not.
+        Raise ``StartFailed`` if it is not ready within
+        ``conf.START_TIMEOUT_S``.
         """
-        with anyio.move_on_after(conf.START_S) as scope:
-            while not await _is_ready(place.ready):
+        with anyio.move_on_after(conf.START_TIMEOUT_S) as scope:
+            while not await _is_ready(entry.ready_address):
                 await anyio.sleep(0.05)
         if scope.cancelled_caught:
-            lines = '\n'.join(place.lines[-conf.LINES_SHOWN :])
-            raise StartFailed(f'entry-{place.number}\n{lines}')
-        place.life = f'entry-{place.number}.{place.lives}'
-        self._history.began_s_by_life[place.life] = place.started_s
-        place.is_up = True
-
-    def find_life(self, address):
-        """Return the run of the entry at a callers' address."""
-        for place in self.entries:
-            if place.front == address:
-                return place.life
+            lines = '\n'.join(entry.log_lines[-conf.LOG_LINES_SHOWN :])
+            raise StartFailed(f'entry-{entry.number}\n{lines}')
+        entry.incarnation = f'entry-{entry.number}.{entry.start_count}'
+        self._history.started_s_by_incarnation[entry.incarnation] = (
+            entry.started_s
+        )
+        entry.is_up = True
+
+    def find_incarnation(self, address):
+        """Return the incarnation of the entry that serves a caller address."""
+        for entry in self.entries:
+            if entry.caller_address == address:
+                return entry.incarnation
         return 'unknown'
 
-    def directories(self):
-        """Return the addresses of all directories."""
-        return [place.directory for place in self.entries]
+    def get_directories(self):
+        """Return the addresses of the entries' directories."""
+        return [entry.directory_address for entry in self.entries]
 
-    async def start_target(self, place):
-        """Start a new target in a place and publish it."""
-        place.lives += 1
-        target_id = f'target-{place.number}.{place.lives}'
+    async def start_target(self, target):
+        """Start a new process for a target and publish it."""
+        target.start_count += 1
+        target_id = f'target-{target.number}.{target.start_count}'
         upstream = []
         has_address = anyio.Event()
 
-        def take_line(line):
-            word, *rest = line.split()
+        def handle_line(line):
+            word, *fields = line.split()
             if word == 'address':
-                upstream.append((rest[0], int(rest[1])))
+                upstream.append((fields[0], int(fields[1])))
                 has_address.set()
             elif word == 'run':
-                self._note(records.Run, self._history.runs, rest, target_id)
+                self._record(
+                    records.Run, self._history.runs, fields, target_id
+                )
             elif word == 'busy':
-                self._note(
-                    records.Refusal, self._history.refusals, rest, target_id
+                self._record(
+                    records.Refusal, self._history.refusals, fields, target_id
                 )
 
-        place.child = children.Child(
+        target.child = children.Child(
             arguments=['-m', 'savoryyoke_soak.backend', target_id],
             environment={},
-            take_line=take_line,
+            on_line=handle_line,
         )
-        await self._group.start(place.child.run)
-        with anyio.fail_after(conf.START_S):
+        await self._group.start(target.child.run)
+        with anyio.fail_after(conf.START_TIMEOUT_S):
             await has_address.wait()
-        place.proxy = proxies.Proxy(
+        target.proxy = proxies.Proxy(
             upstream=upstream[0], ends_with_upstream=True
         )
-        address = await self._group.start(place.proxy.serve)
-        place.target_id = target_id
-        place.value = published.build_target(
-            address=address, Slots=8, Seq=place.lives
+        address = await self._group.start(target.proxy.serve)
+        target.target_id = target_id
+        target.published_value = published.build_target(
+            address=address, Slots=8, Seq=target.start_count
         )
-        self.store.write(f'servers/{target_id}', place.value)
+        self.store.write(f'servers/{target_id}', target.published_value)
 
-    def drain_target(self, place):
-        """Publish that a target leaves."""
-        place.value = place.value | {'State': 'draining'}
-        self.store.write(f'servers/{place.target_id}', place.value)
+    def drain_target(self, target):
+        """Publish a target as draining."""
+        target.published_value = target.published_value | {'State': 'draining'}
+        self.store.write(f'servers/{target.target_id}', target.published_value)
         now_s = time.monotonic()
-        self._history.draining_s_by_target[place.target_id] = now_s
+        self._history.draining_s_by_target[target.target_id] = now_s
 
-    def remove_target(self, place):
-        """Withdraw a target and end its process."""
-        self.store.remove(f'servers/{place.target_id}')
-        place.child.kill()
+    def remove_target(self, target):
+        """Unpublish a target and kill its process."""
+        self.store.remove(f'servers/{target.target_id}')
+        target.child.kill()
 
     @staticmethod
-    def _note(kind, noted, words, target_id):
-        """Note a request at a target, unless it is a probe of this run."""
-        request_id, at_s = words
+    def _record(record_class, records_so_far, fields, target_id):
+        """Record a request at a target, unless it is a configuration probe."""
+        request_id, at_s = fields
         if not request_id.startswith('probe-'):
-            noted.append(
-                kind(
+            records_so_far.append(
+                record_class(
                     request_id=request_id,
                     target_id=target_id,
                     at_s=float(at_s),
                 )
             )
 
-    def end(self):
-        """Kill every process that was started, frozen ones too."""
-        for place in (*self.entries, *self.targets):
-            if place.child is not None:
-                place.child.signal(signal.SIGCONT)
-                place.child.kill()
+    def kill_all(self):
+        """Kill all entries and targets, even those stopped by SIGSTOP."""
+        for process_owner in (*self.entries, *self.targets):
+            if process_owner.child is not None:
+                process_owner.child.signal(signal.SIGCONT)
+                process_owner.child.kill()
 
 
 def _build_route(name):
-    """Return the route of a kind of requests, or of a version."""
+    """Return the route of a kind of request, or of a configuration version."""
     if name == records.Kind.PAYMENT.value:
         return published.build_route(f'/{name}/', 'non_idempotent')
     if name == records.Kind.DRAFT.value:
--- a/packages/savoryyoke-soak/savoryyoke_soak/mutants.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/mutants.py
@@ -1,6 +1,6 @@
-"""Run an entry that breaks one promise, named by the argument.
+"""Run an entry that is patched to break the promise named by the argument.
 
-Each mutant shows that the soak sees the promise broken.
+The mutants prove that the soak detects each kind of broken promise.
 """
 
 import sys
@@ -21,48 +21,49 @@
 
 
 def _repeat_payments():
-    """Try every request again that may have run."""
-    start = ledger.RequestLedger.__init__
+    """Retry requests that may have run, payments too."""
+    original_init = ledger.RequestLedger.__init__
 
-    def start_repeatable(self, *, may_repeat, attempts_limit):
-        start(self, may_repeat=True, attempts_limit=3)
+    def init_repeatable(self, *, may_repeat, attempts_limit):
+        original_init(self, may_repeat=True, attempts_limit=3)
 
-    ledger.RequestLedger.__init__ = start_repeatable
-    # Other requests spend the retry limit, which would hide most repeats.
+    ledger.RequestLedger.__init__ = init_repeatable
+    # Without this, other requests use up the retry allowance and most of the
+    # forbidden retries do not happen.
     retrying.RetryAllowances.covers_one = lambda self, service_name: True
 
 
 def _deny_runs():
-    """Say of every failed request that it has not run."""
-    answer = callers.CallerChannel.answer
+    """Answer every failed request with a status that means "not run"."""
+    original_answer = callers.CallerChannel.answer
 
-    async def deny(self, *, status, headers=(), body=b''):
-        await answer(
+    async def answer_not_run(self, *, status, headers=(), body=b''):
+        await original_answer(
             self,
             status=503 if status >= 500 else status,
             headers=headers,
             body=body,
         )
 
-    callers.CallerChannel.answer = deny
+    callers.CallerChannel.answer = answer_not_run
 
 
 def _drop_events():
-    """Lose the third event of each part of a stream."""
-    feed = framing.EventSplitter.feed
+    """Drop each event of a stream whose id is a multiple of 5."""
+    original_feed = framing.EventSplitter.feed
 
-    def drop(self, data):
+    def feed_and_drop(self, data):
         return [
             event
-            for event in feed(self, data)
+            for event in original_feed(self, data)
             if event.event_id is None or int(event.event_id) % 5
         ]
 
-    framing.EventSplitter.feed = drop
+    framing.EventSplitter.feed = feed_and_drop
 
 
-def _stay_behind():
-    """Read the platform once and never again."""
+def _ignore_changes():
+    """Apply the first reading of the platform and ignore all later ones."""
     take_in = following.Follower._take_in
 
     def take_in_once(self, reading):
@@ -74,18 +75,18 @@
 
 
 def _keep_leaving_targets():
-    """Send work to targets that leave."""
-    publish = dispatching.Dispatching.publish
+    """Keep sending work to targets that are leaving."""
+    original_publish = dispatching.Dispatching.publish
 
     def publish_all(self, *, services_by_name, targets, entries):
-        kept = getattr(self, 'kept', {})
+        all_targets = getattr(self, 'all_targets', {})
         for target in targets:
-            kept.setdefault(target.target_id, target)
-        self.kept = kept
-        publish(
+            all_targets.setdefault(target.target_id, target)
+        self.all_targets = all_targets
+        original_publish(
             self,
             services_by_name=services_by_name,
-            targets=list(kept.values()),
+            targets=list(all_targets.values()),
             entries=entries,
         )
 
@@ -93,39 +94,39 @@
 
 
 def _ignore_notices():
-    """Forget that a target has said that it leaves."""
+    """Ignore the announcements of targets that they are leaving."""
     notices.TargetNotices.is_leaving = lambda self, target: False
     notices.TargetNotices.has_leaving_hint = lambda self, target, now_s: False
 
 
 def _ignore_pauses():
-    """Send to a target that wants nothing."""
+    """Keep sending requests to a target that has asked for a pause."""
     notices.TargetNotices.in_flight_limit = lambda self, target, now_s: None
 
 
-def _hold_answers():
-    """Keep what was answered for longer than any caller waits."""
-    serve = forwarder.Forwarder.serve
+def _delay_answers():
+    """Delay some requests for longer than any caller waits."""
+    original_serve = forwarder.Forwarder.serve
 
-    async def hold(self, request, body, channel, *, arrived_s):
+    async def serve_late(self, request, body, channel, *, arrived_s):
         if request.request_id.endswith('7'):
             await anyio.sleep(30.0)
-        await serve(self, request, body, channel, arrived_s=arrived_s)
+        await original_serve(self, request, body, channel, arrived_s=arrived_s)
 
-    forwarder.Forwarder.serve = hold
+    forwarder.Forwarder.serve = serve_late
 
 
-def _stop_badly():
-    """End at once, with an error, when asked to stop."""
+def _fail_on_stop():
+    """Exit with an error when asked to stop."""
 
-    def end(self):
+    def fail(self):
         raise RuntimeError('stopped')
 
-    stopping.Stopping.begin = end
+    stopping.Stopping.begin = fail
 
 
-def _send_what_crashes():
-    """Withhold no request."""
+def _send_fatal_requests():
+    """Send requests that crash targets instead of withholding them."""
     suspects.Suspects.find_withheld = lambda self, call: None
 
 
@@ -133,13 +134,13 @@
     'once': _repeat_payments,
     'not-run': _deny_runs,
     'whole': _drop_events,
-    'answered': _hold_answers,
-    'configuration': _stay_behind,
+    'answered': _delay_answers,
+    'configuration': _ignore_changes,
     'leaving': _keep_leaving_targets,
     'announced': _ignore_notices,
     'paused': _ignore_pauses,
-    'crashing': _send_what_crashes,
-    'stop': _stop_badly,
+    'crashing': _send_fatal_requests,
+    'stop': _fail_on_stop,
 }
 
 
--- a/packages/savoryyoke-soak/savoryyoke_soak/promises.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/promises.py
@@ -1,4 +1,4 @@
-"""Check what was seen against what savoryyoke promises."""
+"""Check the history of a run against the promises of savoryyoke."""
 
 import collections
 import dataclasses
@@ -6,19 +6,19 @@
 from savoryyoke_soak import conf
 from savoryyoke_soak import records
 
-# A caller may take these for "has not run".
+# Statuses that tell a caller that its request has not run.
 _NOT_RUN_STATUSES = frozenset({408, 429, 503})
-# An entry that is killed or frozen can keep no promise to its callers.
-_DISABLING = frozenset({'killed', 'frozen'})
-# One that was asked to stop is gone for callers with outdated answers of the
-# directory, but cuts nothing.
-_STOPPED = 'stopped'
+# A killed or frozen entry cannot answer its callers.
+_DISABLING_KINDS = frozenset({'killed', 'frozen'})
+# A stopped entry refuses connections from callers with an outdated directory
+# answer, but must not break off any request.
+_STOPPED_KIND = 'stopped'
 _CONNECT_FAILURES = frozenset({'ConnectError', 'ConnectTimeout'})
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Breach:
-    """Name a broken promise and what shows it."""
+    """Hold the name of a broken promise and the evidence for it."""
 
     promise: str
     evidence: str
@@ -26,14 +26,14 @@
 
 def check(history):
     """Return every ``Breach`` in a ``records.History``."""
-    found = []
-    for promise in _PROMISES:
-        found.extend(promise(history))
-    return found
+    breaches = []
+    for check_promise in _CHECKS:
+        breaches.extend(check_promise(history))
+    return breaches
 
 
 def _check_once(history):
-    """Payments run at most once."""
+    """Check that payments run at most once."""
     counts = _count_runs(history)
     for call in history.calls:
         runs = counts[call.request_id]
@@ -44,7 +44,7 @@
 
 
 def _check_not_run(history):
-    """Requests that are said not to have run have not."""
+    """Check that no request has run that was answered as not run."""
     counts = _count_runs(history)
     for call in history.calls:
         runs = counts[call.request_id]
@@ -56,12 +56,12 @@
 
 
 def _check_whole(history):
-    """Answers that end as whole are whole, and are the caller's own."""
+    """Check that complete answers have no gap and match their request."""
     counts = _count_runs(history)
     for call in history.calls:
-        if call.status != 200 or not call.is_whole:
+        if call.status != 200 or not call.is_complete:
             continue
-        problem = _find_fault(call)
+        problem = _find_answer_problem(call)
         if not counts[call.request_id]:
             problem = 'ran nowhere'
         if problem is not None:
@@ -70,9 +70,9 @@
             )
 
 
-def _find_fault(call):
-    if call.answered_id != call.request_id:
-        return f'answer to {call.answered_id}'
+def _find_answer_problem(call):
+    if call.answered_request_id != call.request_id:
+        return f'answer to {call.answered_request_id}'
     if call.kind is not records.Kind.DRAFT:
         expected = b'answer of '
         return None if call.body.startswith(expected) else repr(call.body)
@@ -87,12 +87,12 @@
 
 
 def _check_answered(history):
-    """Each request ends in time, unless its entry was killed or frozen."""
+    """Check that requests end in time, except at a killed or frozen entry."""
     for call in history.calls:
         if _is_excused_call(history, call):
             continue
         late_s = call.ended_s - call.sent_s - conf.DEADLINE_S
-        if late_s > conf.BUSY_S:
+        if late_s > conf.MACHINE_DELAY_S:
             yield Breach(
                 promise='answered',
                 evidence=f'{call.request_id} ended {late_s:.2f} s late',
@@ -100,56 +100,68 @@
         elif call.status is None:
             yield Breach(
                 promise='answered',
-                evidence=f'{call.request_id} at {call.life}: {call.broken}',
+                evidence=(
+                    f'{call.request_id} at {call.incarnation}: {call.failure}'
+                ),
             )
 
 
 def _check_configuration(history):
-    """Accepted configuration is soon in force and never reverts."""
-    last_by_life = {}
+    """Check that configuration is in force in time and never reverts."""
+    in_force_by_key = {}
     for probe in history.probes:
-        known = last_by_life.get((probe.life, probe.version), False)
-        if known and not probe.in_force:
+        was_in_force = in_force_by_key.get(
+            (probe.incarnation, probe.version), False
+        )
+        if was_in_force and not probe.in_force:
             yield Breach(
                 promise='configuration',
-                evidence=f'{probe.life} reverts version {probe.version}',
+                evidence=(
+                    f'{probe.incarnation} reverts version {probe.version}'
+                ),
             )
-        last_by_life[probe.life, probe.version] = known or probe.in_force
+        in_force_by_key[probe.incarnation, probe.version] = (
+            was_in_force or probe.in_force
+        )
         written_s = history.written_s_by_version[probe.version]
-        due_s = written_s + conf.CONFIGURATION_S + conf.BUSY_S
+        due_s = written_s + conf.CONFIGURATION_DELAY_S + conf.MACHINE_DELAY_S
         if probe.in_force or probe.at_s < due_s:
             continue
-        if not _is_excused(history, probe.life, written_s, probe.at_s):
+        if not _may_lack_change(
+            history, probe.incarnation, written_s, probe.at_s
+        ):
             yield Breach(
                 promise='configuration',
                 evidence=(
-                    f'{probe.life} lacks version {probe.version}'
+                    f'{probe.incarnation} lacks version {probe.version}'
                     f' {probe.at_s - written_s:.2f} s on'
                 ),
             )
 
 
-def _is_excused(history, life, from_s, until_s):
-    """Tell whether an entry could not hear of a change."""
+def _may_lack_change(history, incarnation, from_s, until_s):
+    """Return whether an entry may not have received a change."""
     return any(
-        trouble.on in (life, 'store') and trouble.overlaps(from_s, until_s)
+        trouble.subject in (incarnation, 'store')
+        and trouble.overlaps(from_s, until_s)
         for trouble in history.troubles
     )
 
 
 def _check_leaving(history):
-    """Work leaves a target that leaves."""
+    """Check that a draining target soon gets no more work."""
     for run in history.runs:
         since_s = history.draining_s_by_target.get(run.target_id)
         if since_s is None:
             continue
-        late_s = run.at_s - since_s - conf.DRAIN_S - conf.BUSY_S
-        # Any entry may have sent it, so trouble of any one excuses.
-        troubled = any(
+        late_s = run.at_s - since_s - conf.DRAIN_DELAY_S - conf.MACHINE_DELAY_S
+        # Any entry may have sent the request, so trouble of any entry is an
+        # excuse.
+        is_excused = any(
             trouble.overlaps(since_s, run.at_s) and trouble.kind != 'killed'
             for trouble in history.troubles
         )
-        if late_s > 0 and not troubled:
+        if late_s > 0 and not is_excused:
             yield Breach(
                 promise='leaving',
                 evidence=f'{run.target_id} gets {run.request_id} late',
@@ -157,20 +169,24 @@
 
 
 def _check_announced(history):
-    """An entry sends nothing to a target whose answer said that it leaves."""
+    """Check that an entry avoids a target that announced its leaving to it."""
     calls_by_id = {call.request_id: call for call in history.calls}
-    announced_s = {}
+    announced_s_by_key = {}
     for call in history.calls:
         if call.leaving_id:
-            key = (call.life, call.leaving_id)
-            announced_s.setdefault(key, call.ended_s)
-            announced_s[key] = min(announced_s[key], call.ended_s)
+            key = (call.incarnation, call.leaving_id)
+            announced_s_by_key.setdefault(key, call.ended_s)
+            announced_s_by_key[key] = min(
+                announced_s_by_key[key], call.ended_s
+            )
     for run in history.runs:
         call = calls_by_id.get(run.request_id)
-        since_s = call and announced_s.get((call.life, run.target_id))
-        if not since_s or call.sent_s <= since_s + conf.DRAIN_S:
+        since_s = call and announced_s_by_key.get(
+            (call.incarnation, run.target_id)
+        )
+        if not since_s or call.sent_s <= since_s + conf.DRAIN_DELAY_S:
             continue
-        if not _is_troubled(history, call.life, since_s, run.at_s):
+        if not _has_trouble(history, call.incarnation, since_s, run.at_s):
             yield Breach(
                 promise='announced',
                 evidence=f'{run.target_id} gets {run.request_id} late',
@@ -178,13 +194,13 @@
 
 
 def _check_paused(history):
-    """An entry leaves a target alone for the pause that it asked for."""
+    """Check that an entry respects the pause that a target asked for."""
     calls_by_id = {call.request_id: call for call in history.calls}
     arrived_s_by_key = collections.defaultdict(list)
     for arrival in (*history.refusals, *history.runs):
         call = calls_by_id.get(arrival.request_id)
         if call is not None:
-            key = (call.life, arrival.target_id)
+            key = (call.incarnation, arrival.target_id)
             arrived_s_by_key[key].append(arrival.at_s)
     for refusal in history.refusals:
         call = calls_by_id.get(refusal.request_id)
@@ -192,77 +208,82 @@
             continue
         from_s = refusal.at_s + conf.PAUSE_GRACE_S
         until_s = refusal.at_s + conf.PAUSE_S
-        arrived_s = arrived_s_by_key[call.life, refusal.target_id]
-        within = sum(from_s < at_s < until_s for at_s in arrived_s)
-        if within > conf.ARRIVALS_IN_PAUSE and not _is_troubled(
-            history, call.life, refusal.at_s, until_s
+        arrived_s = arrived_s_by_key[call.incarnation, refusal.target_id]
+        arrival_count = sum(from_s < at_s < until_s for at_s in arrived_s)
+        if arrival_count > conf.ARRIVALS_IN_PAUSE and not _has_trouble(
+            history, call.incarnation, refusal.at_s, until_s
         ):
             yield Breach(
                 promise='paused',
-                evidence=f'{refusal.target_id} gets {within} in a pause',
+                evidence=(
+                    f'{refusal.target_id} gets {arrival_count} in a pause'
+                ),
             )
 
 
-def _is_troubled(history, life, from_s, until_s):
+def _has_trouble(history, incarnation, from_s, until_s):
     return any(
-        trouble.on == life and trouble.overlaps(from_s, until_s)
+        trouble.subject == incarnation and trouble.overlaps(from_s, until_s)
         for trouble in history.troubles
     )
 
 
-def _check_stops(history):
-    """Entries that are asked to stop end well and in time."""
+def _check_stop(history):
+    """Check that stopped entries exit in time and with status 0."""
     for stop in history.stops:
         if stop.status != 0:
             yield Breach(
                 promise='stop',
-                evidence=f'{stop.life}: {stop.status}, {stop.took_s:.2f} s',
+                evidence=(
+                    f'{stop.incarnation}: {stop.status},'
+                    f' {stop.duration_s:.2f} s'
+                ),
             )
 
 
 def _check_crashing(history):
-    """Requests that crash each target are soon sent no more."""
+    """Check that requests that crash targets are soon withheld."""
     runs_by_id = collections.defaultdict(list)
     for run in history.runs:
         runs_by_id[run.request_id].append(run.at_s)
-    arrivals = collections.defaultdict(list)
+    arrivals_by_body = collections.defaultdict(list)
     for call in history.calls:
         if call.sent_body.startswith(conf.FATAL_BODY):
             for at_s in runs_by_id[call.request_id]:
-                arrivals[call.sent_body].append((at_s, call))
-    for body, reached in arrivals.items():
-        reached.sort(key=lambda x: x[0])
-        if len(reached) <= conf.CRASHES_TO_LEARN:
+                arrivals_by_body[call.sent_body].append((at_s, call))
+    for body, arrivals in arrivals_by_body.items():
+        arrivals.sort(key=lambda arrival: arrival[0])
+        if len(arrivals) <= conf.CRASHES_BEFORE_LIMIT:
             continue
-        crashed_s, _ = reached[conf.CRASHES_TO_LEARN - 1]
-        late = [
+        crashed_s, _ = arrivals[conf.CRASHES_BEFORE_LIMIT - 1]
+        late_calls = [
             call
-            for at_s, call in reached
-            if at_s > crashed_s + conf.LEARNING_S
-            and not _is_out_of_touch(history, call)
+            for at_s, call in arrivals
+            if at_s > crashed_s + conf.CRASH_DETECTION_S
+            and not _may_lack_crash_reports(history, call)
         ]
-        if len(late) > conf.ARRIVALS_AFTER_LIMIT:
+        if len(late_calls) > conf.ARRIVALS_AFTER_LIMIT:
             yield Breach(
                 promise='crashing',
-                evidence=f'{body} came {len(late)} times too late',
+                evidence=f'{body} came {len(late_calls)} times too late',
             )
 
 
-def _is_out_of_touch(history, call):
-    """Tell whether an entry may not have heard of crashes yet."""
-    from_s = call.sent_s - conf.LEARNING_S - conf.BUSY_S
-    if history.began_s_by_life.get(call.life, 0.0) > from_s:
+def _may_lack_crash_reports(history, call):
+    """Return whether an entry may not have received the crash reports."""
+    from_s = call.sent_s - conf.CRASH_DETECTION_S - conf.MACHINE_DELAY_S
+    if history.started_s_by_incarnation.get(call.incarnation, 0.0) > from_s:
         return True
-    return _is_troubled(history, call.life, from_s, call.ended_s)
+    return _has_trouble(history, call.incarnation, from_s, call.ended_s)
 
 
 def _is_excused_call(history, call):
-    """Tell whether an entry could not answer a call."""
-    kinds = _DISABLING
-    if call.broken in _CONNECT_FAILURES:
-        kinds = kinds | {_STOPPED}
+    """Return whether an entry was unable to answer a call."""
+    kinds = _DISABLING_KINDS
+    if call.failure in _CONNECT_FAILURES:
+        kinds = kinds | {_STOPPED_KIND}
     return any(
-        trouble.on == call.life
+        trouble.subject == call.incarnation
         and trouble.kind in kinds
         and trouble.overlaps(call.sent_s, call.ended_s)
         for trouble in history.troubles
@@ -273,7 +294,7 @@
     return collections.Counter(run.request_id for run in history.runs)
 
 
-_PROMISES = (
+_CHECKS = (
     _check_once,
     _check_not_run,
     _check_whole,
@@ -283,5 +304,5 @@
     _check_announced,
     _check_paused,
     _check_crashing,
-    _check_stops,
+    _check_stop,
 )
--- a/packages/savoryyoke-soak/savoryyoke_soak/records.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/records.py
@@ -1,11 +1,11 @@
-"""What callers, targets and the driver have seen."""
+"""Define the records of what callers, targets and the soak observed."""
 
 import dataclasses
 import enum
 
 
 class Kind(enum.Enum):
-    """Name the kinds of requests by their route."""
+    """Name the kinds of requests; each has its own route."""
 
     LOOKUP = 'lookup'
     PAYMENT = 'payment'
@@ -16,22 +16,24 @@
 class Call:
     """Hold one request of a caller and how it ended.
 
-    ``life`` names the run of the entry process that was called.
-    ``is_whole`` tells whether the answer came to its end as HTTP has it;
-    ``broken`` is why it did not, else None. ``sent_body`` is the caller's.
-    ``leaving_id`` is the target whose answer said that it leaves, or None.
+    ``incarnation`` names the entry process that was called, such as
+    ``entry-1.2`` for the second process of entry 1. ``status``, ``body`` and
+    ``answered_request_id`` are those of the answer, ``sent_body`` that of the
+    request. ``is_complete`` is true if the answer ended as HTTP requires;
+    ``failure`` is the name of the exception otherwise. ``leaving_id`` is the
+    id of the target if its answer announced that it is leaving, else None.
     """
 
     request_id: str
     kind: Kind
-    life: str
+    incarnation: str
     sent_s: float
     ended_s: float
     status: int | None
     body: bytes
-    answered_id: str | None
-    is_whole: bool
-    broken: str | None
+    answered_request_id: str | None
+    is_complete: bool
+    failure: str | None
     sent_body: bytes = b''
     leaving_id: str | None = None
 
@@ -47,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """Hold a request that a busy target has answered with a pause."""
+    """Hold one request that a busy target refused, asking for a pause."""
 
     request_id: str
     target_id: str
@@ -56,9 +58,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Probe:
-    """Hold whether an entry has a version of the configuration in force."""
+    """Hold whether an entry had a configuration version in force."""
 
-    life: str
+    incarnation: str
     version: int
     at_s: float
     in_force: bool
@@ -66,36 +68,39 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Trouble:
-    """Hold a time in which something was kept from working.
+    """Hold a period in which a fault affected a part of the system.
 
-    ``on`` names an entry's life, a target, or ``store``.
+    ``subject`` is the incarnation of an entry, or ``store``.
     """
 
     kind: str
-    on: str
+    subject: str
     from_s: float
     until_s: float
 
     def overlaps(self, from_s, until_s):
-        """Tell whether the trouble touches a time."""
+        """Return whether the trouble overlaps a period."""
         return self.from_s <= until_s and from_s <= self.until_s
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Stop:
-    """Hold the end of an entry that was asked to stop.
+    """Hold how an entry ended that was asked to stop.
 
-    ``status`` is its exit status, None where it did not end in time.
+    ``status`` is its exit status, or None if it did not exit in time.
     """
 
-    life: str
+    incarnation: str
     status: int | None
-    took_s: float
+    duration_s: float
 
 
 @dataclasses.dataclass(kw_only=True)
 class History:
-    """Hold all that was seen in one run of the soak."""
+    """Hold all observations of one run of the soak.
+
+    Times are seconds of the monotonic clock.
+    """
 
     calls: list[Call] = dataclasses.field(default_factory=list)
     runs: list[Run] = dataclasses.field(default_factory=list)
@@ -103,6 +108,6 @@
     probes: list[Probe] = dataclasses.field(default_factory=list)
     troubles: list[Trouble] = dataclasses.field(default_factory=list)
     stops: list[Stop] = dataclasses.field(default_factory=list)
-    began_s_by_life: dict = dataclasses.field(default_factory=dict)
+    started_s_by_incarnation: dict = dataclasses.field(default_factory=dict)
     written_s_by_version: dict = dataclasses.field(default_factory=dict)
     draining_s_by_target: dict = dataclasses.field(default_factory=dict)
--- a/packages/savoryyoke-soak/savoryyoke_soak/runner.py
+++ b/packages/savoryyoke-soak/savoryyoke_soak/runner.py
@@ -1,4 +1,4 @@
-"""Play one seed: a fleet, callers, faults; then check what was seen."""
+"""Run one seed of the soak and check the promises."""
 
 import dataclasses
 import functools
@@ -24,52 +24,56 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """Hold what a run has shown."""
+    """Hold the results of one run."""
 
     seed: int
     faults: tuple[faults.Fault, ...]
     history: records.History
     breaches: list[promises.Breach]
-    lines_by_entry: dict[int, list[str]]
+    log_lines_by_entry: dict[int, list[str]]
 
 
-def play(*, seed, seconds=conf.SECONDS, mutant=None, planned=None):
+def play(*, seed, seconds=conf.RUN_S, mutant=None, planned_faults=None):
     """Run one seed and return its ``Outcome``.
 
-    ``mutant`` names a promise that the entries then break; ``planned`` are
-    faults in place of those that are drawn.
+    Faults start for ``seconds``. ``mutant`` names a promise that the entries
+    are made to break. ``planned_faults`` replace the faults that the seed
+    generates.
     """
     arguments = _ENTRY
     if mutant is not None:
         arguments = ('-m', 'savoryyoke_soak.mutants', mutant)
-    if planned is None:
-        planned = faults.draw_faults(
+    if planned_faults is None:
+        planned_faults = faults.generate_faults(
             seed=seed,
             seconds=seconds,
             entries=conf.ENTRIES,
             targets=conf.REPLICAS,
         )
     soak = Soak(
-        seed=seed, seconds=seconds, planned=planned, arguments=arguments
+        seed=seed,
+        seconds=seconds,
+        planned_faults=planned_faults,
+        arguments=arguments,
     )
     return anyio.run(soak.run)
 
 
 class Soak:
-    """Own one run."""
+    """Run a fleet, its callers and its faults once."""
 
-    def __init__(self, *, seed, seconds, planned, arguments):
+    def __init__(self, *, seed, seconds, planned_faults, arguments):
         self._seed = seed
         self._arguments = arguments
         self._history = records.History()
-        self._faults = planned
+        self._faults = planned_faults
         self._seconds = seconds
-        # The newest version of the configuration that was seen in force.
-        self._in_force_by_life = {}
+        # The newest configuration version that a probe found in force.
+        self._in_force_by_incarnation = {}
         self._fleet = None
 
     async def run(self):
-        """Play the run and return its ``Outcome``."""
+        """Run the fleet, check the promises and return the ``Outcome``."""
         with tempfile.TemporaryDirectory() as directory:
             async with anyio.create_task_group() as group:
                 self._fleet = fleet.Fleet(
@@ -80,39 +84,39 @@
                 )
                 try:
                     await self._fleet.start()
-                    await self._play()
+                    await self._run_load_and_faults()
                 finally:
-                    self._fleet.end()
+                    self._fleet.kill_all()
                 group.cancel_scope.cancel()
         return Outcome(
             seed=self._seed,
             faults=self._faults,
             history=self._history,
             breaches=promises.check(self._history),
-            lines_by_entry={
-                place.number: place.lines for place in self._fleet.entries
+            log_lines_by_entry={
+                entry.number: entry.log_lines for entry in self._fleet.entries
             },
         )
 
-    async def _play(self):
+    async def _run_load_and_faults(self):
         stopped = anyio.Event()
-        async with anyio.create_task_group() as calling:
+        async with anyio.create_task_group() as caller_tasks:
             for number in range(conf.CALLERS):
                 caller = callers.Caller(
                     history=self._history,
-                    source=random.Random(f'{self._seed}/{number}'),
-                    directories=self._fleet.directories,
-                    find_life=self._fleet.find_life,
+                    random_source=random.Random(f'{self._seed}/{number}'),
+                    get_directories=self._fleet.get_directories,
+                    find_incarnation=self._fleet.find_incarnation,
                 )
-                calling.start_soon(caller.run, stopped)
-            calling.start_soon(self._change_configuration, stopped)
-            calling.start_soon(self._probe, stopped)
-            calling.start_soon(self._replace_crashed, stopped)
-            async with anyio.create_task_group() as failing:
+                caller_tasks.start_soon(caller.run, stopped)
+            caller_tasks.start_soon(self._change_configuration, stopped)
+            caller_tasks.start_soon(self._probe, stopped)
+            caller_tasks.start_soon(self._replace_crashed_targets, stopped)
+            async with anyio.create_task_group() as fault_tasks:
                 started_s = time.monotonic()
                 for fault in self._faults:
                     await _sleep_until(started_s + fault.at_s)
-                    failing.start_soon(self._cause, fault)
+                    fault_tasks.start_soon(self._run_fault, fault)
                 await _sleep_until(started_s + self._seconds)
             await anyio.sleep(conf.QUIET_S)
             stopped.set()
@@ -123,119 +127,143 @@
             self._fleet.publish_configuration()
 
     async def _probe(self, stopped):
-        """Look at each entry's configuration again and again."""
+        """Probe the configuration of each running entry repeatedly."""
         while not stopped.is_set():
             await anyio.sleep(0.3)
-            for place in self._fleet.entries:
-                if place.is_up and not place.is_busy:
-                    await self._probe_entry(place)
+            for entry in self._fleet.entries:
+                if entry.is_up and not entry.is_busy:
+                    await self._probe_entry(entry)
 
-    async def _probe_entry(self, place):
-        life = place.life
-        version = self._choose_version(life)
+    async def _probe_entry(self, entry):
+        incarnation = entry.incarnation
+        version = self._choose_version(incarnation)
         sent_s = time.monotonic()
-        in_force = await callers.probe(place.front, version)
-        if in_force is None or life != place.life or place.is_busy:
+        in_force = await callers.probe(entry.caller_address, version)
+        if (
+            in_force is None
+            or incarnation != entry.incarnation
+            or entry.is_busy
+        ):
             return
         if in_force:
-            known = self._in_force_by_life.get(life, 0)
-            self._in_force_by_life[life] = max(known, version)
+            newest = self._in_force_by_incarnation.get(incarnation, 0)
+            self._in_force_by_incarnation[incarnation] = max(newest, version)
         self._history.probes.append(
             records.Probe(
-                life=life, version=version, at_s=sent_s, in_force=in_force
+                incarnation=incarnation,
+                version=version,
+                at_s=sent_s,
+                in_force=in_force,
             )
         )
 
-    def _choose_version(self, life):
-        """Return the oldest version that a life lacks, or one that it has."""
-        known = self._in_force_by_life.get(life, 0)
-        if known < self._fleet.version:
-            return known + 1
-        return random.randint(1, known)
+    def _choose_version(self, incarnation):
+        """Return the configuration version to probe next.
 
-    async def _cause(self, fault):
-        await _CAUSES_BY_KIND[fault.kind](self, fault)
+        This is the oldest one not yet found in force, else a random one that
+        was in force.
+        """
+        newest = self._in_force_by_incarnation.get(incarnation, 0)
+        if newest < self._fleet.version:
+            return newest + 1
+        return random.randint(1, newest)
 
-    def note(self, kind, on, from_s, until_s=None):
-        """Note a trouble that ends now, unless told otherwise."""
+    async def _run_fault(self, fault):
+        await _FAULT_RUNNERS_BY_KIND[fault.kind](self, fault)
+
+    def record_trouble(self, kind, subject, from_s, until_s=None):
+        """Record a ``Trouble``; it ends now if ``until_s`` is None."""
         self._history.troubles.append(
             records.Trouble(
                 kind=kind,
-                on=on,
+                subject=subject,
                 from_s=from_s,
                 until_s=time.monotonic() if until_s is None else until_s,
             )
         )
 
-    async def _on_entry(self, fault, act):
-        """Let a fault befall an entry, unless another one is on it."""
-        place = self._fleet.entries[fault.place]
-        if place.is_busy or not place.is_up:
+    async def _run_on_entry(self, fault, action):
+        """Run ``action`` on an entry that is up and has no other fault."""
+        entry = self._fleet.entries[fault.index]
+        if entry.is_busy or not entry.is_up:
             return
-        place.is_busy = True
+        entry.is_busy = True
         try:
-            await act(place, fault)
+            await action(entry, fault)
         finally:
-            place.is_busy = False
+            entry.is_busy = False
 
-    async def _kill(self, place, fault):
-        self.note('killed', place.life, time.monotonic(), _FOREVER_S)
-        place.is_up = False
-        place.child.kill()
-        await self._return_entry(place, fault)
+    async def _kill(self, entry, fault):
+        self.record_trouble(
+            'killed', entry.incarnation, time.monotonic(), _FOREVER_S
+        )
+        entry.is_up = False
+        entry.child.kill()
+        await self._restart_entry(entry, fault)
 
-    async def _return_entry(self, place, fault):
-        await place.child.wait(conf.STOP_S)
+    async def _restart_entry(self, entry, fault):
+        await entry.child.wait(conf.STOP_TIMEOUT_S)
         await anyio.sleep(fault.for_s)
-        await self._fleet.start_entry(place)
-        await self._fleet.await_entry(place)
+        await self._fleet.start_entry(entry)
+        await self._fleet.wait_until_ready(entry)
 
-    async def _freeze(self, place, fault):
+    async def _freeze(self, entry, fault):
         from_s = time.monotonic()
-        self.note('frozen', place.life, from_s, from_s + fault.for_s + 1.0)
-        place.child.signal(signal.SIGSTOP)
+        self.record_trouble(
+            'frozen', entry.incarnation, from_s, from_s + fault.for_s + 1.0
+        )
+        entry.child.signal(signal.SIGSTOP)
         await anyio.sleep(fault.for_s)
-        place.child.signal(signal.SIGCONT)
-        self.note('frozen', place.life, from_s)
-
-    async def _stop(self, place, fault):
-        """Ask an entry to stop, repeatedly, as impatient operators do."""
-        gone_s = time.monotonic() + conf.STOPPED_GONE_S
-        self.note('stopped', place.life, gone_s, _FOREVER_S)
+        entry.child.signal(signal.SIGCONT)
+        self.record_trouble('frozen', entry.incarnation, from_s)
+
+    async def _stop(self, entry, fault):
+        """Stop an entry with several signals, as an operator may send them."""
+        unreachable_s = time.monotonic() + conf.STOPPED_REACHABLE_S
+        self.record_trouble(
+            'stopped', entry.incarnation, unreachable_s, _FOREVER_S
+        )
         for _ in range(3):
-            place.child.signal(signal.SIGTERM)
+            entry.child.signal(signal.SIGTERM)
             await anyio.sleep(0.05)
-        status, took_s = await place.child.wait(conf.STOP_S)
+        status, duration_s = await entry.child.wait(conf.STOP_TIMEOUT_S)
         self._history.stops.append(
-            records.Stop(life=place.life, status=status, took_s=took_s)
+            records.Stop(
+                incarnation=entry.incarnation,
+                status=status,
+                duration_s=duration_s,
+            )
         )
-        place.is_up = False
-        place.child.kill()
-        await self._return_entry(place, fault)
+        entry.is_up = False
+        entry.child.kill()
+        await self._restart_entry(entry, fault)
 
-    async def _reload(self, place, fault):
+    async def _reload(self, entry, fault):
         for _ in range(3):
-            place.child.signal(signal.SIGHUP)
+            entry.child.signal(signal.SIGHUP)
             await anyio.sleep(fault.for_s / 3)
 
-    async def _tear_settings(self, place, fault):
-        """Let an entry read a settings file that is half written."""
-        text = place.settings_path.read_text()
-        place.settings_path.write_text(text[: len(text) // 2])
-        place.child.signal(signal.SIGHUP)
+    async def _truncate_settings(self, entry, fault):
+        """Make an entry read a settings file that is truncated."""
+        text = entry.settings_path.read_text()
+        entry.settings_path.write_text(text[: len(text) // 2])
+        entry.child.signal(signal.SIGHUP)
         await anyio.sleep(fault.for_s)
-        place.settings_path.write_text(text)
-        place.child.signal(signal.SIGHUP)
+        entry.settings_path.write_text(text)
+        entry.child.signal(signal.SIGHUP)
 
     async def _cut_from_store(self, fault, mode):
-        place = self._fleet.entries[fault.place]
+        entry = self._fleet.entries[fault.index]
         from_s = time.monotonic()
-        place.proxy.set_mode(mode)
+        entry.proxy.set_mode(mode)
         await anyio.sleep(fault.for_s)
-        place.proxy.set_mode(proxies.Mode.PASS)
-        # Whoever holds a silent connection finds that out after a while.
-        self.note(
-            'store-cut', place.life, from_s, time.monotonic() + conf.DRAIN_S
+        entry.proxy.set_mode(proxies.Mode.PASS)
+        # An entry needs some time to detect that its connection is dead.
+        self.record_trouble(
+            'store-cut',
+            entry.incarnation,
+            from_s,
+            time.monotonic() + conf.DRAIN_DELAY_S,
         )
 
     async def _fail_store(self, fault):
@@ -243,80 +271,86 @@
         self._fleet.store.status = 500
         await anyio.sleep(fault.for_s)
         self._fleet.store.status = None
-        self.note('store-error', 'store', from_s)
+        self.record_trouble('store-error', 'store', from_s)
 
-    async def _forget_history(self, fault):
+    async def _drop_store_history(self, fault):
         self._fleet.store.forget_history()
 
-    async def _send_garbage(self, fault):
+    async def _send_store_garbage(self, fault):
         self._fleet.store.garbage = b'{"AsOf": '
 
-    async def _on_target(self, fault, act):
-        place = self._fleet.targets[fault.place]
-        if place.is_busy:
+    async def _run_on_target(self, fault, action):
+        target = self._fleet.targets[fault.index]
+        if target.is_busy:
             return
-        place.is_busy = True
+        target.is_busy = True
         try:
-            await act(place, fault)
+            await action(target, fault)
         finally:
-            place.is_busy = False
+            target.is_busy = False
 
-    async def _replace_crashed(self, stopped):
-        """Start targets anew whose process has ended by itself."""
+    async def _replace_crashed_targets(self, stopped):
+        """Replace targets whose process has exited."""
         while not stopped.is_set():
             await anyio.sleep(0.05)
-            for place in self._fleet.targets:
-                if place.child.has_ended and not place.is_busy:
-                    place.is_busy = True
+            for target in self._fleet.targets:
+                if target.child.has_exited and not target.is_busy:
+                    target.is_busy = True
                     await anyio.sleep(conf.TARGET_RETURN_S)
-                    self._fleet.remove_target(place)
-                    await self._fleet.start_target(place)
-                    place.is_busy = False
+                    self._fleet.remove_target(target)
+                    await self._fleet.start_target(target)
+                    target.is_busy = False
 
     async def _send_fatal_request(self, fault):
         caller = callers.Caller(
             history=self._history,
-            source=random.Random(f'{self._seed}/{fault.at_s}'),
-            directories=self._fleet.directories,
-            find_life=self._fleet.find_life,
+            random_source=random.Random(f'{self._seed}/{fault.at_s}'),
+            get_directories=self._fleet.get_directories,
+            find_incarnation=self._fleet.find_incarnation,
         )
         body = conf.FATAL_BODY + str(fault.at_s).encode()
-        await caller.repeat(body, for_s=fault.for_s + conf.FATAL_FOR_S)
+        await caller.send_repeatedly(
+            body, for_s=fault.for_s + conf.FATAL_FOR_S
+        )
 
-    async def _kill_target(self, place, fault):
-        place.child.kill()
+    async def _kill_target(self, target, fault):
+        target.child.kill()
         await anyio.sleep(fault.for_s)
-        self._fleet.remove_target(place)
-        await self._fleet.start_target(place)
+        self._fleet.remove_target(target)
+        await self._fleet.start_target(target)
 
-    async def _freeze_target(self, place, fault):
-        place.child.signal(signal.SIGSTOP)
+    async def _freeze_target(self, target, fault):
+        target.child.signal(signal.SIGSTOP)
         await anyio.sleep(fault.for_s)
-        place.child.signal(signal.SIGCONT)
-
-    async def _drain_target(self, place, fault):
-        self._fleet.drain_target(place)
-        await anyio.sleep(conf.DRAIN_S + conf.BUSY_S + fault.for_s)
-        self._fleet.remove_target(place)
-        await self._fleet.start_target(place)
-
-    async def _announce_leaving(self, place, fault):
-        """Let a target say that it leaves while the list calls it ready."""
-        place.child.signal(signal.SIGUSR1)
-        await anyio.sleep(conf.DRAIN_S + conf.BUSY_S + fault.for_s)
-        self._fleet.remove_target(place)
-        await self._fleet.start_target(place)
-
-    async def _ask_for_pause(self, place, fault):
-        place.child.signal(signal.SIGUSR2)
+        target.child.signal(signal.SIGCONT)
+
+    async def _drain_target(self, target, fault):
+        self._fleet.drain_target(target)
+        await anyio.sleep(
+            conf.DRAIN_DELAY_S + conf.MACHINE_DELAY_S + fault.for_s
+        )
+        self._fleet.remove_target(target)
+        await self._fleet.start_target(target)
+
+    async def _announce_leaving(self, target, fault):
+        """Make a target announce its leaving while published as ready."""
+        target.child.signal(signal.SIGUSR1)
+        await anyio.sleep(
+            conf.DRAIN_DELAY_S + conf.MACHINE_DELAY_S + fault.for_s
+        )
+        self._fleet.remove_target(target)
+        await self._fleet.start_target(target)
+
+    async def _request_pause(self, target, fault):
+        target.child.signal(signal.SIGUSR2)
         await anyio.sleep(conf.BUSY_FOR_S)
 
-    async def _answer_without_end(self, place, fault):
-        place.child.signal(signal.SIGHUP)
+    async def _send_endless_answers(self, target, fault):
+        target.child.signal(signal.SIGHUP)
         await anyio.sleep(fault.for_s)
 
     async def _disturb_link(self, fault):
-        proxy = self._fleet.targets[fault.place].proxy
+        proxy = self._fleet.targets[fault.index].proxy
         proxy.set_mode(proxies.Mode(fault.kind))
         await anyio.sleep(fault.for_s)
         proxy.set_mode(proxies.Mode.PASS)
@@ -326,15 +360,15 @@
     await anyio.sleep(max(at_s - time.monotonic(), 0.0))
 
 
-def _entry_fault(act):
-    return lambda soak, fault: soak._on_entry(
-        fault, functools.partial(act, soak)
+def _entry_fault(action):
+    return lambda soak, fault: soak._run_on_entry(
+        fault, functools.partial(action, soak)
     )
 
 
-def _target_fault(act):
-    return lambda soak, fault: soak._on_target(
-        fault, functools.partial(act, soak)
+def _target_fault(action):
+    return lambda soak, fault: soak._run_on_target(
+        fault, functools.partial(action, soak)
     )
 
 
@@ -342,22 +376,22 @@
     return lambda soak, fault: soak._cut_from_store(fault, mode)
 
 
-_CAUSES_BY_KIND = {
+_FAULT_RUNNERS_BY_KIND = {
     'kill': _entry_fault(Soak._kill),
     'freeze': _entry_fault(Soak._freeze),
     'stop': _entry_fault(Soak._stop),
     'reload': _entry_fault(Soak._reload),
-    'torn-settings': _entry_fault(Soak._tear_settings),
+    'torn-settings': _entry_fault(Soak._truncate_settings),
     'store-cut': _store_fault(proxies.Mode.RESET),
     'store-mute': _store_fault(proxies.Mode.SILENCE),
     'store-error': Soak._fail_store,
-    'store-history': Soak._forget_history,
-    'store-garbage': Soak._send_garbage,
+    'store-history': Soak._drop_store_history,
+    'store-garbage': Soak._send_store_garbage,
     'fatal-request': Soak._send_fatal_request,
     'kill-target': _target_fault(Soak._kill_target),
     'freeze-target': _target_fault(Soak._freeze_target),
     'drain-target': _target_fault(Soak._drain_target),
     'leaving-target': _target_fault(Soak._announce_leaving),
-    'busy-target': _target_fault(Soak._ask_for_pause),
-    'endless-target': _target_fault(Soak._answer_without_end),
+    'busy-target': _target_fault(Soak._request_pause),
+    'endless-target': _target_fault(Soak._send_endless_answers),
 } | dict.fromkeys(faults.LINK_FAULTS, Soak._disturb_link)
--- a/packages/savoryyoke-soak/tests/test_promises.py
+++ b/packages/savoryyoke-soak/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""Test that each broken promise is found in what was seen."""
+"""Test that each broken promise is found in the history of a run."""
 
 import dataclasses
 import unittest
@@ -7,11 +7,11 @@
 from savoryyoke_soak import promises
 from savoryyoke_soak import records
 
-LIFE = 'entry-1.1'
+INCARNATION = 'entry-1.1'
 
 
 def build_call(kind=records.Kind.LOOKUP, **changes):
-    """Return a call that was answered in full."""
+    """Return a call with a complete answer, changed by ``changes``."""
     request_id = f'{kind.value}-1'
     body = b'answer of target-1'
     if kind is records.Kind.DRAFT:
@@ -22,14 +22,14 @@
     call = records.Call(
         request_id=request_id,
         kind=kind,
-        life=LIFE,
+        incarnation=INCARNATION,
         sent_s=10.0,
         ended_s=10.2,
         status=200,
         body=body,
-        answered_id=request_id,
-        is_whole=True,
-        broken=None,
+        answered_request_id=request_id,
+        is_complete=True,
+        failure=None,
     )
     return dataclasses.replace(call, **changes)
 
@@ -51,26 +51,37 @@
         self.history.calls.append(call)
         self.history.runs.extend([build_run(call)] * runs)
 
-    def trouble(self, kind, *, on=LIFE, from_s=9.0, until_s=11.0):
+    def add_trouble(
+        self, kind, *, subject=INCARNATION, from_s=9.0, until_s=11.0
+    ):
         """Add a trouble."""
         self.history.troubles.append(
-            records.Trouble(kind=kind, on=on, from_s=from_s, until_s=until_s)
+            records.Trouble(
+                kind=kind, subject=subject, from_s=from_s, until_s=until_s
+            )
         )
 
     def assert_broken(self, *names):
-        """Check which promises are found broken."""
-        found = [breach.promise for breach in promises.check(self.history)]
-        self.assertEqual(list(names), found)
+        """Check that exactly these promises are found broken."""
+        broken_promises = [
+            breach.promise for breach in promises.check(self.history)
+        ]
+        self.assertEqual(list(names), broken_promises)
 
-    def probe(self, *, at_s, in_force):
+    def add_probe(self, *, at_s, in_force):
         """Add a probe of version 1."""
         self.history.probes.append(
-            records.Probe(life=LIFE, version=1, at_s=at_s, in_force=in_force)
+            records.Probe(
+                incarnation=INCARNATION,
+                version=1,
+                at_s=at_s,
+                in_force=in_force,
+            )
         )
 
 
 class PromiseTests(HistoryCase):
-    def test_answers_in_full_break_nothing(self):
+    def test_complete_answers_break_no_promise(self):
         for kind in records.Kind:
             self.add(build_call(kind))
         self.assert_broken()
@@ -83,32 +94,32 @@
         self.add(build_call(), runs=2)
         self.assert_broken()
 
-    def test_refusal_of_what_has_run(self):
+    def test_refusal_of_a_request_that_has_run(self):
         self.add(build_call(status=503))
         self.assert_broken('not-run')
 
-    def test_failure_that_leaves_the_run_open(self):
+    def test_failure_that_may_have_run(self):
         self.add(build_call(status=504))
         self.assert_broken()
 
-    def test_stream_with_a_gap_that_ends_as_whole(self):
-        torn = b'id: 1\ndata: x\n\nid: 3\ndata: x\n\n'
-        self.add(build_call(records.Kind.DRAFT, body=torn))
+    def test_complete_stream_with_a_gap(self):
+        body = b'id: 1\ndata: x\n\nid: 3\ndata: x\n\n'
+        self.add(build_call(records.Kind.DRAFT, body=body))
         self.assert_broken('whole')
 
-    def test_stream_that_is_seen_to_be_torn(self):
+    def test_stream_that_is_visibly_incomplete(self):
         self.add(
             build_call(
                 records.Kind.DRAFT,
                 body=b'id: 1\ndata: x\n\n',
-                is_whole=False,
-                broken='RemoteProtocolError',
+                is_complete=False,
+                failure='RemoteProtocolError',
             )
         )
         self.assert_broken()
 
-    def test_answer_to_somebody_else(self):
-        self.add(build_call(answered_id='lookup-2'))
+    def test_answer_to_another_request(self):
+        self.add(build_call(answered_request_id='lookup-2'))
         self.assert_broken('whole')
 
     def test_answer_that_no_target_gave(self):
@@ -116,105 +127,109 @@
         self.assert_broken('whole')
 
     def test_caller_without_an_answer(self):
-        call = build_call(status=None, is_whole=False, broken='ReadError')
+        call = build_call(status=None, is_complete=False, failure='ReadError')
         self.add(call, runs=0)
         self.assert_broken('answered')
 
     def test_caller_of_an_entry_that_was_killed(self):
-        call = build_call(status=None, is_whole=False, broken='ReadError')
+        call = build_call(status=None, is_complete=False, failure='ReadError')
         self.add(call, runs=0)
-        self.trouble('killed')
+        self.add_trouble('killed')
         self.assert_broken()
 
-    def test_caller_that_comes_to_a_stopped_entry(self):
-        call = build_call(status=None, is_whole=False, broken='ConnectError')
+    def test_caller_that_connects_to_a_stopped_entry(self):
+        call = build_call(
+            status=None, is_complete=False, failure='ConnectError'
+        )
         self.add(call, runs=0)
-        self.trouble('stopped')
+        self.add_trouble('stopped')
         self.assert_broken()
 
-    def test_caller_that_a_stop_cuts_off(self):
-        call = build_call(status=None, is_whole=False, broken='ReadError')
+    def test_request_that_a_stop_breaks_off(self):
+        call = build_call(status=None, is_complete=False, failure='ReadError')
         self.add(call, runs=0)
-        self.trouble('stopped')
+        self.add_trouble('stopped')
         self.assert_broken('answered')
 
     def test_answer_that_is_much_too_late(self):
-        late_s = 10.0 + conf.DEADLINE_S + conf.BUSY_S + 0.1
+        late_s = 10.0 + conf.DEADLINE_S + conf.MACHINE_DELAY_S + 0.1
         self.add(build_call(ended_s=late_s))
         self.assert_broken('answered')
 
     def test_configuration_that_reverts(self):
-        self.probe(at_s=1.0, in_force=True)
-        self.probe(at_s=2.0, in_force=False)
+        self.add_probe(at_s=1.0, in_force=True)
+        self.add_probe(at_s=2.0, in_force=False)
         self.assert_broken('configuration')
 
     def test_configuration_that_comes_late(self):
-        due_s = conf.CONFIGURATION_S + conf.BUSY_S
-        self.probe(at_s=due_s - 0.1, in_force=False)
+        due_s = conf.CONFIGURATION_DELAY_S + conf.MACHINE_DELAY_S
+        self.add_probe(at_s=due_s - 0.1, in_force=False)
         self.assert_broken()
-        self.probe(at_s=due_s, in_force=False)
+        self.add_probe(at_s=due_s, in_force=False)
         self.assert_broken('configuration')
 
-    def test_configuration_is_late_for_one_that_was_cut_off(self):
-        self.probe(at_s=20.0, in_force=False)
-        self.trouble('store-cut')
+    def test_late_configuration_after_a_store_cut(self):
+        self.add_probe(at_s=20.0, in_force=False)
+        self.add_trouble('store-cut')
         self.assert_broken()
 
-    def test_work_for_a_target_that_leaves(self):
+    def test_work_for_a_draining_target(self):
         self.history.draining_s_by_target['target-1'] = 1.0
         self.add(build_call())
         self.assert_broken('leaving')
-        self.trouble('killed', from_s=2.0)
+        self.add_trouble('killed', from_s=2.0)
         self.assert_broken('leaving')
-        self.trouble('store-error', on='store', from_s=2.0)
+        self.add_trouble('store-error', subject='store', from_s=2.0)
         self.assert_broken()
 
     def add_fatal(self, *at_s):
         """Add requests that crash targets, each with one run."""
-        for number, each_s in enumerate(at_s):
+        for number, sent_s in enumerate(at_s):
             call = build_call(
                 records.Kind.PAYMENT,
                 request_id=f'fatal-{number}',
-                sent_s=each_s,
-                ended_s=each_s + 0.1,
+                sent_s=sent_s,
+                ended_s=sent_s + 0.1,
                 status=502,
-                answered_id=None,
+                answered_request_id=None,
                 sent_body=conf.FATAL_BODY,
             )
             self.history.calls.append(call)
-            self.history.runs.append(build_run(call, at_s=each_s))
+            self.history.runs.append(build_run(call, at_s=sent_s))
 
-    def test_request_that_crashes_targets_and_goes_on_being_sent(self):
-        late_s = 3.0 + conf.LEARNING_S
+    def test_fatal_request_that_is_not_withheld(self):
+        late_s = 3.0 + conf.CRASH_DETECTION_S
         self.add_fatal(1.0, 2.0, 3.0, 3.5, *[late_s + 1.0] * 3)
         self.assert_broken()
         self.history = records.History()
         self.add_fatal(1.0, 2.0, 3.0, *[late_s + 1.0] * 4)
         self.assert_broken('crashing')
-        self.trouble('frozen', from_s=late_s, until_s=late_s + 0.5)
+        self.add_trouble('frozen', from_s=late_s, until_s=late_s + 0.5)
         self.assert_broken()
         self.history.troubles.clear()
-        self.history.began_s_by_life[LIFE] = late_s
+        self.history.started_s_by_incarnation[INCARNATION] = late_s
         self.assert_broken()
-        self.history.began_s_by_life[LIFE] = 0.0
+        self.history.started_s_by_incarnation[INCARNATION] = 0.0
         self.assert_broken('crashing')
 
     def test_entry_that_does_not_end_or_ends_badly(self):
         for status in (None, 1):
             self.history.stops.append(
-                records.Stop(life=LIFE, status=status, took_s=3.0)
+                records.Stop(
+                    incarnation=INCARNATION, status=status, duration_s=3.0
+                )
             )
         self.assert_broken('stop', 'stop')
 
 
 class NoticeTests(HistoryCase):
-    """Test the promises that targets' own words bind."""
+    """Test the promises about targets that announce a pause or leaving."""
 
-    def send(self, number, *, sent_s, **changes):
-        """Add a call that ran at the usual target."""
+    def add_answered_call(self, number, *, sent_s, **changes):
+        """Add a call that was answered by ``target-1``."""
         call = build_call(
             request_id=f'lookup-{number}',
-            answered_id=f'lookup-{number}',
+            answered_request_id=f'lookup-{number}',
             sent_s=sent_s,
             ended_s=sent_s + 0.1,
             **changes,
@@ -222,7 +237,7 @@
         self.history.calls.append(call)
         self.history.runs.append(build_run(call, at_s=sent_s + 0.05))
 
-    def refuse(self, number, *, at_s):
+    def add_refused_call(self, number, *, at_s):
         """Add a call that a busy target answered with a pause."""
         self.history.calls.append(
             build_call(
@@ -238,28 +253,28 @@
             )
         )
 
-    def test_work_for_a_target_that_said_it_leaves(self):
-        self.send(1, sent_s=10.0, leaving_id='target-1')
-        self.send(2, sent_s=10.0 + conf.DRAIN_S)
+    def test_work_for_a_target_that_announced_leaving(self):
+        self.add_answered_call(1, sent_s=10.0, leaving_id='target-1')
+        self.add_answered_call(2, sent_s=10.0 + conf.DRAIN_DELAY_S)
         self.assert_broken()
-        self.send(3, sent_s=10.2 + conf.DRAIN_S)
+        self.add_answered_call(3, sent_s=10.2 + conf.DRAIN_DELAY_S)
         self.assert_broken('announced')
-        self.trouble('frozen', from_s=11.0, until_s=12.0)
+        self.add_trouble('frozen', from_s=11.0, until_s=12.0)
         self.assert_broken()
 
-    def test_other_entries_have_not_heard_it(self):
-        self.send(1, sent_s=10.0, leaving_id='target-1')
-        self.send(2, sent_s=20.0, life='entry-2.1')
+    def test_announcement_binds_only_its_receiver(self):
+        self.add_answered_call(1, sent_s=10.0, leaving_id='target-1')
+        self.add_answered_call(2, sent_s=20.0, incarnation='entry-2.1')
         self.assert_broken()
 
     def test_requests_in_a_pause(self):
-        self.refuse(1, at_s=10.0)
+        self.add_refused_call(1, at_s=10.0)
         for number in range(conf.ARRIVALS_IN_PAUSE):
-            self.send(number, sent_s=10.6 + 0.1 * number)
-        self.send(8, sent_s=10.1)
-        self.send(9, sent_s=10.0 + conf.PAUSE_S)
+            self.add_answered_call(number, sent_s=10.6 + 0.1 * number)
+        self.add_answered_call(8, sent_s=10.1)
+        self.add_answered_call(9, sent_s=10.0 + conf.PAUSE_S)
         self.assert_broken()
-        self.send(7, sent_s=11.0)
+        self.add_answered_call(7, sent_s=11.0)
         self.assert_broken('paused')
-        self.trouble('killed', from_s=11.0, until_s=12.0)
+        self.add_trouble('killed', from_s=11.0, until_s=12.0)
         self.assert_broken()
