--- a/packages/savoryyoke-wire/tests/test_gossip.py
+++ b/packages/savoryyoke-wire/tests/test_gossip.py
@@ -34,7 +34,7 @@
     'attachments': (messages.Attachment(name='limits', content=b'\x00x'),),
     'updates': (UPDATE, UPDATE),
 }
-EXAMPLE_MESSAGES = (
+EXAMPLES_OF_KINDS = (
     messages.Ping(joining=True, **COMMON),
     messages.PingRequest(
         subject_id='entry-c', subject_address='10.0.0.2:7000', **COMMON
@@ -47,14 +47,14 @@
     """Test the encoding and decoding of datagrams."""
 
     def test_round_trip_keeps_every_field(self):
-        for message in EXAMPLE_MESSAGES:
+        for message in EXAMPLES_OF_KINDS:
             with self.subTest(kind=type(message).__name__):
                 self.assertEqual(
                     message, gossip.decode(gossip.encode(message))
                 )
 
     def test_estimated_sizes_are_not_below_the_real_ones(self):
-        for message in EXAMPLE_MESSAGES:
+        for message in EXAMPLES_OF_KINDS:
             with self.subTest(kind=type(message).__name__):
                 self.assertGreaterEqual(
                     sizes.message_bytes(message),
@@ -64,7 +64,7 @@
     @FIXED
     @hypothesis.given(strategies.data())
     def test_garbage_and_damage_give_typed_errors(self, data):
-        packed = bytearray(gossip.encode(EXAMPLE_MESSAGES[0]))
+        packed = bytearray(gossip.encode(EXAMPLES_OF_KINDS[0]))
         if data.draw(strategies.booleans()):
             packed = bytearray(data.draw(strategies.binary(max_size=300)))
         elif packed:
