--- a/packages/savoryyoke-wire/tests/test_gossip.py
+++ b/packages/savoryyoke-wire/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Test the datagrams of membership."""
+"""Test the datagrams of the membership protocol."""
 
 import unittest
 
@@ -44,7 +44,7 @@
 
 
 class GossipTests(unittest.TestCase):
-    """Test the translation of datagrams."""
+    """Test the encoding and decoding of datagrams."""
 
     def test_round_trip_keeps_every_field(self):
         for message in EXAMPLES_OF_KINDS:
