--- a/packages/savoryyoke-entry/savoryyoke_entry/application.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/application.py
@@ -23,18 +23,18 @@
         self._daemon = daemon
         self._settings = settings
         self._clock = clock
-        self._prefix = f'{settings.vm_id}-{incarnation:016x}'
-        self._numbers = itertools.count(1)
+        self._call_id_prefix = f'{settings.vm_id}-{incarnation:016x}'
+        self._call_numbers = itertools.count(1)
         self.in_flight = 0
 
     async def __call__(self, scope, receive, send):
         """Serve one ASGI request."""
         if scope['type'] != 'http':
             return
-        arrival = keyed.note_arrival(
+        arrival = keyed.record_arrival(
             scope,
             routes=self._daemon.fleet.routes,
-            doubtful=self._daemon.observe_pause(),
+            is_doubtful=self._daemon.observe_pause(),
             now_s=self._clock(),
         )
         self.in_flight += 1
@@ -62,13 +62,13 @@
             await self._send_directory(scope, caller)
             return
         try:
-            request = await self._read(scope, receive, arrival.at_s)
+            request = await self._read_request(scope, receive, arrival.at_s)
         except exceptions.RequestRefused as refusal:
-            await self._refuse(scope, caller, arrival, refusal.problem)
+            await self._send_refusal(scope, caller, arrival, refusal.problem)
             return
-        call_id = f'{self._prefix}-{next(self._numbers)}'
+        call_id = f'{self._call_id_prefix}-{next(self._call_numbers)}'
         with self._daemon.team_limiter.admit(call_id, request) as refusal:
-            outcome = await self._answer(
+            outcome = await self._run_request(
                 request, caller, call_id, arrival, refusal
             )
         logs.write_event(
@@ -94,19 +94,19 @@
             return
         await caller.send_json(answer)
 
-    async def _read(self, scope, receive, now_s):
-        table, teams = self._daemon.get_tables()
+    async def _read_request(self, scope, receive, now_s):
+        route_table, teams = self._daemon.get_routes_and_teams()
         return await requests.read_request(
             scope,
             receive,
-            table=table,
+            route_table=route_table,
             teams=teams,
             limit_bytes=self._settings.body_limit_bytes,
             now_s=now_s,
         )
 
-    async def _refuse(self, scope, caller, arrival, problem):
-        if arrival.bound:
+    async def _send_refusal(self, scope, caller, arrival, problem):
+        if arrival.is_bound:
             # An earlier attempt may have run; only the ledger knows.
             problem = dataclasses.replace(
                 problem, outcome=problems.MAY_HAVE_RUN
@@ -120,7 +120,7 @@
         self._daemon.count_request('', '', problem.name, 0.0)
         await caller.send_problem(problem)
 
-    async def _answer(self, request, caller, call_id, arrival, refusal):
+    async def _run_request(self, request, caller, call_id, arrival, refusal):
         """Run the request beside a watch on its caller.
 
         With a ``refusal`` by the team's limit nothing is run; of a bound
@@ -131,12 +131,12 @@
             return refusal.name
         result = 'caller-gone'
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(caller.watch)
+            tasks.start_soon(caller.watch_disconnect)
             if request.idempotent:
                 tasks.start_soon(_cancel_when_gone, caller, tasks.cancel_scope)
                 relay = self._build_relay(request, caller, call_id)
             else:
-                relay = self._build_keyed(
+                relay = self._build_keyed_relay(
                     request, caller, call_id, arrival, refusal
                 )
             result = await relay.run()
@@ -148,12 +148,12 @@
             request=request,
             caller=caller,
             service=self._daemon.fleet.services[request.route.service_name],
-            suspect_requests=self._daemon.fleet.suspects,
+            suspect_requests=self._daemon.fleet.suspect_requests,
             clock=self._clock,
             call_id=call_id,
         )
 
-    def _build_keyed(self, request, caller, call_id, arrival, refusal):
+    def _build_keyed_relay(self, request, caller, call_id, arrival, refusal):
         return keyed.KeyedRelay(
             request=request,
             caller=caller,
--- a/packages/savoryyoke-entry/savoryyoke_entry/callers.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/callers.py
@@ -6,7 +6,7 @@
 
 from savoryyoke_entry import exceptions
 
-DONE = b'data: [DONE]\n\n'
+DONE_EVENT = b'data: [DONE]\n\n'
 STREAM_TYPE = 'text/event-stream'
 ERROR_EVENT = b'event: error\ndata: '
 _REPLACED_HEADERS = frozenset({'content-length', 'transfer-encoding'})
@@ -22,9 +22,9 @@
         self._receive = receive
         self._send = send
         self.gone = anyio.Event()
-        self.started = False
+        self.answer_started = False
 
-    async def watch(self):
+    async def watch_disconnect(self):
         """Return when the caller has gone."""
         while True:
             message = await self._receive()
@@ -34,7 +34,7 @@
 
     async def start(self, status, headers):
         """Send the status and headers of an answer."""
-        self.started = True
+        self.answer_started = True
         await self._send(
             {
                 'type': 'http.response.start',
@@ -55,7 +55,7 @@
             }
         )
 
-    async def send_whole(self, status, headers, body):
+    async def send_complete(self, status, headers, body):
         """Send an answer that is known to be whole."""
         length = str(len(body)).encode()
         pairs = [*to_pairs(headers), (b'content-length', length)]
@@ -65,7 +65,7 @@
     async def send_problem(self, problem):
         """Send a refusal; after the answer has begun, break it off aloud."""
         body = problem.build_body()
-        if self.started:
+        if self.answer_started:
             # The body stays without its end, so that no client can take
             # it for a whole answer.
             await self.send_part(ERROR_EVENT + body + b'\n\n')
@@ -78,7 +78,7 @@
     async def send_json(self, value, status=200):
         """Send ``value`` as JSON."""
         headers = [('content-type', 'application/json')]
-        await self.send_whole(status, headers, json.dumps(value).encode())
+        await self.send_complete(status, headers, json.dumps(value).encode())
 
 
 def to_pairs(headers):
--- a/packages/savoryyoke-entry/savoryyoke_entry/choices.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/choices.py
@@ -7,9 +7,10 @@
 
 
 class TargetChoices:
-    """Own which targets a request has tried and what to ask the router.
+    """Track the targets that a request has tried and choose the next.
 
-    ``crash_reports`` are those that travel with the next try.
+    ``crash_reports`` are the reports to send with the next try; they are empty
+    unless the request is suspected of crashing back ends.
     """
 
     def __init__(self, *, request, service, fingerprint, clock, call_id):
@@ -18,62 +19,66 @@
         self._clock = clock
         self._call_id = call_id
         self._excluded = set()
-        self._isolation = suspects.IsolatedChoice(
-            fingerprint=fingerprint, choose=self._ask_router
+        self._isolated_choice = suspects.IsolatedTargetChoice(
+            fingerprint=fingerprint, choose=self._choose_by_router
         )
         self.crash_reports = ()
 
     def exclude(self, target_id):
-        """Send no further try to a target."""
+        """Exclude a target from all further tries."""
         self._excluded.add(target_id)
 
-    def hold_back(self, target_id, *, occupied):
-        """Let a target be tried again that took no call for now.
+    def readmit(self, target_id, *, is_occupied):
+        """Allow further tries at a target that refused for isolation.
 
-        ``occupied`` tells that it runs another suspect.
+        ``is_occupied`` says that the target runs another suspect request.
         """
         self._excluded.discard(target_id)
-        if occupied:
-            self._isolation.note_occupied(target_id)
+        if is_occupied:
+            self._isolated_choice.mark_occupied(target_id)
 
     async def choose(self, verdict, attempt):
-        """Return the router's choice, or that of the isolation."""
+        """Return the router's ``Choice`` or ``NoTarget`` for a try.
+
+        ``verdict`` is the quarantine's decision on the request; a request
+        that is isolated gets its target from ``IsolatedTargetChoice``.
+        """
         if isinstance(verdict, quarantine_decisions.Isolate):
             self.crash_reports = verdict.reports
-            choice = self._isolation.choose(
+            choice = self._isolated_choice.choose(
                 self._build_request,
                 target_ids=self._service.target_ids,
                 excluded=frozenset(self._excluded),
             )
         else:
             self.crash_reports = ()
-            choice = await self._choose_in_turn()
+            choice = await self._choose_or_wait()
         observations.log_choice(
             self._call_id, attempt, self._build_request(frozenset()), choice
         )
         return choice
 
-    async def _choose_in_turn(self):
-        choice = self._ask_for_any()
+    async def _choose_or_wait(self):
+        choice = self._choose_target()
         if not isinstance(choice, routing_decisions.NoTarget):
             return choice
-        return await self._service.turns.wait(
+        return await self._service.wait_queue.wait(
             choice,
-            self._ask_for_any,
-            self._ask_for_queue,
+            self._choose_target,
+            self._choose_target_queue,
             priority=self._request.priority,
             deadline_s=self._request.deadline_s,
         )
 
-    def _ask_for_any(self):
+    def _choose_target(self):
         excluded = frozenset(self._excluded)
-        return self._ask_router(self._build_request(excluded))
+        return self._choose_by_router(self._build_request(excluded))
 
-    def _ask_for_queue(self):
+    def _choose_target_queue(self):
         request = self._build_request(frozenset(self._excluded))
         return self._service.router.choose_queue(request, self._clock())
 
-    def _ask_router(self, request):
+    def _choose_by_router(self, request):
         return self._service.router.choose(request, self._clock())
 
     def _build_request(self, excluded):
--- a/packages/savoryyoke-entry/savoryyoke_entry/daemon.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/daemon.py
@@ -43,7 +43,7 @@
         )
         self._drain_requested = anyio.Event()
         self._draining = False
-        self._table = None
+        self._route_table = None
         self._teams = {}
         self._application = None
         self._plane = None
@@ -63,11 +63,11 @@
     def ready(self):
         """Tell whether callers may be sent here."""
         return (
-            self._table is not None
+            self._route_table is not None
             and self._plane.vm_list is not None
             and not self._plane.is_suspect
             and not self._draining
-            and self.fleet.links_up > 0
+            and self.fleet.connected_target_count > 0
         )
 
     def start_drain(self):
@@ -86,8 +86,8 @@
             'ready': self.ready,
             'draining': self._draining,
             'in_flight': self._application.in_flight,
-            'targets_connected': self.fleet.links_up,
-            'targets_known': self.fleet.links_wanted,
+            'targets_connected': self.fleet.connected_target_count,
+            'targets_known': self.fleet.expected_target_count,
             'members': len(self._plane.membership.members()),
             'self_suspected': self._plane.is_suspect,
             **plane.describe_configuration(self._plane),
@@ -97,15 +97,15 @@
         """Return whether this process may have been paused just now."""
         return self._pauses.observe(now_s=self._clock())
 
-    def get_tables(self):
+    def get_routes_and_teams(self):
         """Return the route table and the teams, or refuse the request."""
-        if self._table is None:
+        if self._route_table is None:
             requests.refuse(
                 'cut-off',
                 'no configuration is in force yet',
                 retry_after_s=conf.RETRY_AFTER_S,
             )
-        return self._table, self._teams
+        return self._route_table, self._teams
 
     def count_request(self, service, operation, outcome, duration_s):
         """Count one ended request."""
@@ -118,14 +118,14 @@
 
     def build_directory(self, scope):
         """Return which entries a caller should use, and for how long."""
-        if self._table is None or self._plane.vm_list is None:
+        if self._route_table is None or self._plane.vm_list is None:
             return problems.Problem(
                 name='cut-off',
                 detail='this entry has just started; ask another',
                 retry_after_s=conf.RETRY_AFTER_S,
             )
         team = requests.read_team_name(scope)
-        return self._directory.answer(
+        return self._directory.build_answer(
             scope,
             team=team,
             may_serve=functools.partial(
@@ -138,7 +138,7 @@
         """Return a binding for each service with non-idempotent calls."""
         bindings = {}
         for name in self._keyed_services:
-            binding = self.fleet.bind(name)
+            binding = self.fleet.make_binding(name)
             if binding is not None:
                 bindings[name] = binding
         return bindings
@@ -160,7 +160,7 @@
             self.fleet = fleet.Fleet(
                 settings=self._settings,
                 hello=self._build_hello(),
-                tasks=tasks,
+                task_group=tasks,
                 clock=self._clock,
             )
             self._directory = directories.EntryDirectory(
@@ -196,11 +196,11 @@
             daemon=self, settings=self._settings, registry=self._registry
         )
         await self._plane.bind()
-        self._announce(listener, admin_server)
+        self._log_start(listener, admin_server)
         tasks.start_soon(self._plane.run)
         tasks.start_soon(self.team_limiter.run, self._plane.send_request)
         tasks.start_soon(self._directory.run, self._plane.membership)
-        tasks.start_soon(self._watch_pauses)
+        tasks.start_soon(self._check_pauses)
         tasks.start_soon(processes.watch_signals, self.start_drain)
         tasks.start_soon(admin_server.run)
         tasks.start_soon(_serve_http, server, listener)
@@ -208,7 +208,7 @@
         await self._drain(server)
         admin_server.stop()
 
-    def _announce(self, listener, admin_server):
+    def _log_start(self, listener, admin_server):
         host, port = listener.getsockname()
         advertised = self._settings.advertised_address
         self._address = str(advertised) if advertised else f'{host}:{port}'
@@ -232,17 +232,17 @@
 
     def on_vm_list(self, vm_list):
         """Follow the platform's list of VMs."""
-        self.team_limiter.take_vms(vm_list)
-        self.fleet.apply_vms(vm_list)
-        self._directory.take_vms(vm_list)
+        self.team_limiter.apply_vm_list(vm_list)
+        self.fleet.apply_vm_list(vm_list)
+        self._directory.apply_vm_list(vm_list)
 
     def on_member_changed(self, decision):
         """Follow a change of a member."""
-        self.fleet.apply_member(decision)
+        self.fleet.apply_membership_change(decision)
 
     def answer_loan(self, request):
         """Return what another entry gets of what it asks to borrow."""
-        return self.team_limiter.answer(request)
+        return self.team_limiter.answer_loan_request(request)
 
     def on_attachments(self, vm_id, attachments):
         """Take payloads of another process."""
@@ -250,19 +250,19 @@
     def on_configuration_applied(self, applied):
         """Follow the configuration in force."""
         configuration = applied.configuration
-        self._table = routes.RouteTable(configuration=configuration)
+        self._route_table = routes.RouteTable(configuration=configuration)
         self._teams = configuration.teams_by_name
-        self.team_limiter.take_teams(self._teams)
+        self.team_limiter.apply_teams(self._teams)
         self._keyed_services = tuple(
             name
             for name, service in configuration.services_by_name.items()
             if _has_keyed_operations(service)
         )
-        out = fleet.find_data_centres_out(applied.configuration)
-        self.fleet.apply_configuration(applied, out)
-        self._directory.take_data_centres(out)
+        data_centres_out = fleet.find_data_centres_out(applied.configuration)
+        self.fleet.apply_configuration(applied, data_centres_out)
+        self._directory.apply_data_centres_out(data_centres_out)
 
-    async def _watch_pauses(self):
+    async def _check_pauses(self):
         while True:
             self.observe_pause()
             await anyio.sleep(conf.PAUSE_CHECK_S)
--- a/packages/savoryyoke-entry/savoryyoke_entry/directories.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/directories.py
@@ -1,4 +1,4 @@
-"""Feed the directory of entries and turn its answers into documents."""
+"""Keep the directory of entries and build its answers to callers."""
 
 import urllib.parse
 
@@ -13,7 +13,7 @@
 from savoryyoke_edge import problems
 from savoryyoke_entry import conf
 
-_STATES_HEARD = frozenset(
+_STATES_IN_CONTACT = frozenset(
     {
         membership_messages.MemberState.ALIVE,
         membership_messages.MemberState.LEAVING,
@@ -22,9 +22,9 @@
 
 
 class EntryDirectory:
-    """Own what this entry tells callers about the entries.
+    """Answer callers with the entries that they should use.
 
-    ``membership`` says who is heard and ``fleet`` which targets are.
+    ``fleet`` is the ``fleet.Fleet`` that counts the targets in contact.
     """
 
     def __init__(self, *, settings, clock, fleet):
@@ -39,95 +39,102 @@
             ),
         )
         self._generations_by_entry_id = {}
-        self._rows_by_entry_id = {}
-        self._out = frozenset()
+        self._vms_by_entry_id = {}
+        self._data_centres_out = frozenset()
 
-    def take_vms(self, vm_list):
-        """Follow the platform's list of VMs."""
-        rows = {vm.vm_id: vm for vm in vm_list.vms if vm.role == 'entry'}
-        for entry_id in set(self._rows_by_entry_id) - set(rows):
+    def apply_vm_list(self, vm_list):
+        """Update the entries from the platform's list of VMs."""
+        vms_by_id = {vm.vm_id: vm for vm in vm_list.vms if vm.role == 'entry'}
+        for entry_id in set(self._vms_by_entry_id) - set(vms_by_id):
             self._feed_entry(events.EntryGone, entry_id)
-        self._rows_by_entry_id = rows
-        for entry_id, row in rows.items():
+        self._vms_by_entry_id = vms_by_id
+        for entry_id, vm in vms_by_id.items():
             generation, _ = self._generations_by_entry_id.setdefault(
                 entry_id, (0, 0)
             )
-            self._see(row, generation)
-            if row.state == 'leaving':
+            self._add_entry(vm, generation)
+            if vm.state == 'leaving':
                 self._feed_entry(events.EntryLeaving, entry_id)
 
-    def take_data_centres(self, out):
-        """Follow which data centres operators have taken out."""
-        for name in sorted(out - self._out):
+    def apply_data_centres_out(self, data_centres_out):
+        """Apply which data centres operators have taken out."""
+        for name in sorted(data_centres_out - self._data_centres_out):
             self._feed(events.DataCentreOut(data_centre=name))
-        for name in sorted(self._out - out):
+        for name in sorted(self._data_centres_out - data_centres_out):
             self._feed(events.DataCentreIn(data_centre=name))
-        self._out = out
+        self._data_centres_out = data_centres_out
 
     def start_drain(self):
-        """Name this entry no more; return when no caller holds its name."""
-        (planned,) = self._feed(events.DrainStarted())
-        return planned.drain_complete_at_s
+        """Stop listing this entry in answers.
+
+        Return the monotonic time at which the last answer that lists it has
+        expired.
+        """
+        (drain_planned,) = self._feed(events.DrainStarted())
+        return drain_planned.drain_complete_at_s
 
     async def run(self, membership):
-        """Follow membership until cancelled."""
+        """Update the directory from ``membership`` until cancelled."""
         while True:
-            self._follow(membership)
-            await anyio.sleep(conf.DIRECTORY_TICK_S)
+            self._apply_membership(membership)
+            await anyio.sleep(conf.DIRECTORY_PERIOD_S)
 
-    def _follow(self, membership):
+    def _apply_membership(self, membership):
         members = {item.vm_id: item for item in membership.members()}
         members[self._entry_id] = membership.record
-        for entry_id, row in self._rows_by_entry_id.items():
+        for entry_id, vm in self._vms_by_entry_id.items():
             member = members.get(entry_id)
             if member is None or not member.incarnation:
                 continue
-            self._hear(row, member, is_trusted=not membership.is_suspect)
+            self._record_message(
+                vm, member, is_trusted=not membership.is_suspect
+            )
         self._feed(
             events.TargetContactsReported(
-                in_contact_count=self._fleet.count_heard(
+                in_contact_count=self._fleet.count_targets_in_contact(
                     conf.TARGET_SILENCE_S
                 ),
-                expected_count=self._fleet.links_wanted,
+                expected_count=self._fleet.expected_target_count,
             )
         )
         for change in self._feed(events.Ticked()):
             reason = change.reason.value if change.reason else 'none'
             logs.write_event('contact_changed', cut_off=reason)
 
-    def _hear(self, row, member, *, is_trusted):
-        """Pass on what membership says, unless it suspects itself.
+    def _record_message(self, vm, member, *, is_trusted):
+        """Report an entry that membership holds alive as in contact.
 
-        In a large fleet each entry hears each other one but rarely, so it
-        is membership that knows who is alive.
+        In a large fleet an entry seldom gets a message from each other
+        entry, so membership decides which are alive. ``is_trusted`` is false
+        while this entry's own view of the fleet is unreliable.
         """
-        generation, incarnation = self._generations_by_entry_id[row.vm_id]
+        generation, incarnation = self._generations_by_entry_id[vm.vm_id]
         if incarnation != member.incarnation:
             generation += 1
-            self._generations_by_entry_id[row.vm_id] = (
+            self._generations_by_entry_id[vm.vm_id] = (
                 generation,
                 member.incarnation,
             )
-            self._see(row, generation)
+            self._add_entry(vm, generation)
         if member.state is membership_messages.MemberState.LEAVING:
-            self._feed_entry(events.EntryLeaving, row.vm_id)
-        if is_trusted and member.state in _STATES_HEARD:
+            self._feed_entry(events.EntryLeaving, vm.vm_id)
+        if is_trusted and member.state in _STATES_IN_CONTACT:
             self._feed(
                 events.EntryMessageReceived(
-                    entry_id=row.vm_id,
+                    entry_id=vm.vm_id,
                     incarnation=generation,
                     stamp_s=self._clock(),
                     load=0.0,
                 )
             )
 
-    def _see(self, row, generation):
+    def _add_entry(self, vm, generation):
         self._feed(
             events.EntrySeen(
-                entry_id=row.vm_id,
+                entry_id=vm.vm_id,
                 incarnation=generation,
-                data_centre=row.data_centre,
-                address=row.address,
+                data_centre=vm.data_centre,
+                address=vm.address,
             )
         )
 
@@ -138,11 +145,11 @@
     def _feed(self, event):
         return self._directory.apply(event, now_s=self._clock())
 
-    def answer(self, scope, *, team, may_serve, bindings):
+    def build_answer(self, scope, *, team, may_serve, bindings):
         """Return the document for a caller, or a ``Problem``.
 
-        ``may_serve(entry_id)`` tells which entries admit the caller's team,
-        and ``bindings`` maps services to the text of a binding.
+        ``may_serve(entry_id)`` returns whether an entry admits the caller's
+        team, and ``bindings`` maps service names to the text of a binding.
         """
         answer = self._directory.answer(
             _read_caller(scope, team), self._clock()
@@ -155,18 +162,21 @@
         return {
             'entries': [
                 {'address': entry.address, 'data_centre': entry.data_centre}
-                for entry in entries or self._find_serving(may_serve)
+                for entry in entries or self._find_serving_entries(may_serve)
             ],
             'lifetime_s': answer.lifetime_s,
             'bindings': bindings,
         }
 
-    def _find_serving(self, may_serve):
-        """Return the listed entries that serve a team none of the best do."""
+    def _find_serving_entries(self, may_serve):
+        """Return all live entries that admit the caller's team.
+
+        They are used if no entry of the answer admits it.
+        """
         return [
-            row
-            for entry_id, row in self._rows_by_entry_id.items()
-            if row.state == 'live' and may_serve(entry_id)
+            vm
+            for entry_id, vm in self._vms_by_entry_id.items()
+            if vm.state == 'live' and may_serve(entry_id)
         ]
 
 
@@ -184,7 +194,7 @@
     return problems.Problem(
         name='cut-off',
         reason=answer.reason.value,
-        detail='this entry hears too little of the fleet; use another',
+        detail='this entry has lost contact with the fleet; use another',
         retry_after_s=answer.retry_after_s,
         alternatives=addresses,
     )
--- a/packages/savoryyoke-entry/savoryyoke_entry/fleet.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/fleet.py
@@ -1,4 +1,4 @@
-"""Know the targets of each service, their links and their state."""
+"""Track the targets of each service, their links and their state."""
 
 import math
 
@@ -19,12 +19,12 @@
 from savoryyoke_entry import exceptions
 from savoryyoke_entry import links
 from savoryyoke_entry import suspects
-from savoryyoke_entry import turns
+from savoryyoke_entry import wait_queues
 from savoryyoke_wire import messages
 
 
 class Service:
-    """Hold the router and the retry budget of one service."""
+    """Hold the router, retry budget and wait queue of one service."""
 
     def __init__(self, *, name, router, clock, links_by_target_id):
         self.name = name
@@ -32,7 +32,7 @@
         self._clock = clock
         self._links_by_target_id = links_by_target_id
         self._retries = None
-        self.turns = turns.Turns(clock=clock)
+        self.wait_queue = wait_queues.WaitQueue(clock=clock)
 
     def configure(self, policy):
         """Apply the retry policy of the configuration in force."""
@@ -45,7 +45,7 @@
         )
 
     def feed(self, event):
-        """Pass an event to the router and log what it rejects."""
+        """Pass an event to the router and log its decisions."""
         for decision in self.router.apply(event, now_s=self._clock()):
             logs.write_event(
                 'routing_event',
@@ -55,12 +55,15 @@
             )
 
     def feed_retries(self, event):
-        """Pass an event to the retry rules and return their decisions."""
+        """Pass an event to the retry policy and return its decisions."""
         return self._retries.apply(event, now_s=self._clock())
 
     @property
     def target_ids(self):
-        """Return the targets with links; the router knows which are its."""
+        """Return the ids of all targets with links, of any service.
+
+        The router chooses only among the targets of its own service.
+        """
         return frozenset(self._links_by_target_id)
 
     def get_link(self, target_id):
@@ -69,22 +72,22 @@
 
 
 class Fleet:
-    """Own the links to the targets and what the entry knows of them."""
+    """Manage the links to the targets and the state of each target."""
 
-    def __init__(self, *, settings, hello, tasks, clock):
+    def __init__(self, *, settings, hello, task_group, clock):
         self._settings = settings
         self._hello = hello
-        self._tasks = tasks
+        self._task_group = task_group
         self._clock = clock
         self._generator = numpy.random.default_rng(settings.seed)
         self._links_by_target_id = {}
         self._scopes_by_target_id = {}
-        self._rows_by_target_id = {}
+        self._vms_by_target_id = {}
         self._data_centres_by_entry_id = {}
         self._generations_by_target_id = {}
         self._services_by_name = {}
         self.routes = routes.Routes(limits=calls_conf.AttemptLimits())
-        self.suspects = suspects.Suspects(clock=clock)
+        self.suspect_requests = suspects.SuspectRequests(clock=clock)
 
     @property
     def services(self):
@@ -92,22 +95,22 @@
         return self._services_by_name
 
     @property
-    def links_up(self):
-        """Return how many targets are connected."""
+    def connected_target_count(self):
+        """Return the number of connected targets."""
         return sum(
             link.peer is not None for link in self._links_by_target_id.values()
         )
 
     @property
-    def links_wanted(self):
-        """Return how many targets should be connected."""
+    def expected_target_count(self):
+        """Return the number of targets that should be connected."""
         return len(self._links_by_target_id)
 
-    def count_heard(self, silence_s):
-        """Return how many targets sent something in the last seconds."""
+    def count_targets_in_contact(self, silence_s):
+        """Return how many targets sent a message in the last ``silence_s``."""
         since_s = self._clock() - silence_s
         return sum(
-            link.heard_at_s >= since_s
+            link.last_message_at_s >= since_s
             for link in self._links_by_target_id.values()
         )
 
@@ -115,57 +118,60 @@
         """Return the link to a target; raise ``LinkDown`` without one."""
         return _find_link(self._links_by_target_id, target_id)
 
-    def bind(self, service_name):
-        """Return the text of a binding for new keys, or None."""
+    def make_binding(self, service_name):
+        """Return the text of a binding for new keys of a service.
+
+        Return None if no connected target can be bound.
+        """
         service = self._services_by_name.get(service_name)
         if service is None:
             return None
-        for offer in service.router.bindings(self._clock()):
-            link = self._links_by_target_id.get(offer.target_id)
+        for candidate in service.router.bindings(self._clock()):
+            link = self._links_by_target_id.get(candidate.target_id)
             if link is None or link.peer is None:
                 continue
             binding = self.routes.make_binding(
                 service=service_name,
-                target_id=offer.target_id,
+                target_id=candidate.target_id,
                 incarnation=link.peer.incarnation,
             )
             if binding is not None:
                 return binding.format()
         return None
 
-    def apply_configuration(self, applied, out):
-        """Follow the configuration in force.
+    def apply_configuration(self, applied, data_centres_out):
+        """Apply the configuration in force to all services.
 
-        ``out`` names the data centres that are taken out.
+        ``data_centres_out`` names the data centres that are taken out.
         """
         configuration = applied.configuration
         for name, declared in configuration.services_by_name.items():
             self._ensure_service(name).configure(declared.retry)
         event = routing_events.ConfigurationApplied(
             revision=applied.base_revision + applied.overlay_revision,
-            data_centres_out=out,
+            data_centres_out=data_centres_out,
         )
         for service in self._services_by_name.values():
             service.feed(event)
         self._plan_links()
 
-    def apply_vms(self, vm_list):
-        """Follow the platform's list of VMs."""
+    def apply_vm_list(self, vm_list):
+        """Update targets and links from the platform's list of VMs."""
         self._data_centres_by_entry_id = {
             vm.vm_id: vm.data_centre
             for vm in vm_list.vms
             if vm.role == 'entry' and vm.state == 'live'
         }
-        rows = {vm.vm_id: vm for vm in vm_list.vms if vm.role == 'target'}
-        for target_id in set(self._rows_by_target_id) - set(rows):
+        vms_by_id = {vm.vm_id: vm for vm in vm_list.vms if vm.role == 'target'}
+        for target_id in set(self._vms_by_target_id) - set(vms_by_id):
             self._feed_target(target_id, routing_events.TargetGone)
             self._drop_link(target_id)
-            del self._rows_by_target_id[target_id]
-        for target_id, row in rows.items():
-            known = self._rows_by_target_id.get(target_id)
-            if known is not None and known.address != row.address:
+            del self._vms_by_target_id[target_id]
+        for target_id, vm in vms_by_id.items():
+            previous_vm = self._vms_by_target_id.get(target_id)
+            if previous_vm is not None and previous_vm.address != vm.address:
                 self._drop_link(target_id)
-            self._rows_by_target_id[target_id] = row
+            self._vms_by_target_id[target_id] = vm
         self._plan_links()
 
     def _plan_links(self):
@@ -175,51 +181,51 @@
         )
         for service in self._services_by_name.values():
             service.feed(peers)
-        for row in self._rows_by_target_id.values():
-            self._show_row(row)
+        for vm in self._vms_by_target_id.values():
+            self._add_target(vm)
         for service in self._services_by_name.values():
             change = service.router.plan_connections()
             for target_id in change.connect:
-                self._ensure_link(self._rows_by_target_id[target_id])
+                self._ensure_link(self._vms_by_target_id[target_id])
             for target_id in change.disconnect:
                 self._drop_link(target_id)
 
-    def _show_row(self, row):
-        service = self._services_by_name.get(row.service)
+    def _add_target(self, vm):
+        service = self._services_by_name.get(vm.service)
         if service is None:
             return
         generation, _ = self._generations_by_target_id.setdefault(
-            row.vm_id, (0, None)
+            vm.vm_id, (0, None)
         )
         service.feed(
             routing_events.TargetSeen(
-                target_id=row.vm_id,
+                target_id=vm.vm_id,
                 incarnation=generation,
-                data_centre=row.data_centre,
-                address=row.address,
+                data_centre=vm.data_centre,
+                address=vm.address,
             )
         )
-        if row.state == 'leaving':
-            self._report_leaving(row.vm_id)
+        if vm.state == 'leaving':
+            self._mark_leaving(vm.vm_id)
 
-    async def reach(self, target_id):
+    async def connect_target(self, target_id):
         """Return the link to a target once it is up.
 
         A bound key may name a target that this entry is not connected to.
-        Raise ``LinkDown`` where it does not come up in time.
+        Raise ``LinkDown`` if the link is not up in time.
         """
-        row = self._rows_by_target_id.get(target_id)
-        if row is None:
+        vm = self._vms_by_target_id.get(target_id)
+        if vm is None:
             raise exceptions.LinkDown(target_id)
-        self._ensure_link(row)
+        self._ensure_link(vm)
         link = self.get_link(target_id)
         await link.wait_until_up(self._settings.connect_timeout_s)
         return link
 
-    def apply_member(self, decision):
-        """Follow what membership says of a target's process."""
+    def apply_membership_change(self, decision):
+        """Apply a membership decision on a target's process."""
         if isinstance(decision, membership_decisions.MemberLeaving):
-            self._report_leaving(decision.vm_id)
+            self._mark_leaving(decision.vm_id)
 
     def _ensure_service(self, name):
         service = self._services_by_name.get(name)
@@ -239,22 +245,22 @@
             self._services_by_name[name] = service
         return service
 
-    def _ensure_link(self, row):
-        if row.service not in self._services_by_name:
+    def _ensure_link(self, vm):
+        if vm.service not in self._services_by_name:
             return
-        if row.vm_id in self._links_by_target_id:
+        if vm.vm_id in self._links_by_target_id:
             return
         link = links.Link(
-            target_id=row.vm_id,
-            address=addresses.parse_peer_address(row.address),
+            target_id=vm.vm_id,
+            address=addresses.parse_peer_address(vm.address),
             hello=self._hello,
             timeout_s=self._settings.connect_timeout_s,
             owner=self,
         )
-        self._links_by_target_id[row.vm_id] = link
+        self._links_by_target_id[vm.vm_id] = link
         scope = anyio.CancelScope()
-        self._scopes_by_target_id[row.vm_id] = scope
-        self._tasks.start_soon(_run_in_scope, link, scope)
+        self._scopes_by_target_id[vm.vm_id] = scope
+        self._task_group.start_soon(_run_in_scope, link, scope)
 
     def _drop_link(self, target_id):
         self._links_by_target_id.pop(target_id, None)
@@ -262,29 +268,29 @@
         if scope is not None:
             scope.cancel()
 
-    def on_up(self, link):
+    def on_link_up(self, link):
         """Tell the router that a target is connected."""
-        row = self._rows_by_target_id.get(link.target_id)
-        if row is None:
+        vm = self._vms_by_target_id.get(link.target_id)
+        if vm is None:
             return
-        generation = self._count_generation(link)
-        service = self._services_by_name[row.service]
+        generation = self._update_generation(link)
+        service = self._services_by_name[vm.service]
         service.feed(
             routing_events.TargetSeen(
                 target_id=link.target_id,
                 incarnation=generation,
                 data_centre=link.peer.data_centre,
-                address=row.address,
+                address=vm.address,
             )
         )
         service.feed(routing_events.TargetReachable(target_id=link.target_id))
         service.router.plan_connections()
 
-    def _count_generation(self, link):
+    def _update_generation(self, link):
         """Return a number that grows with each incarnation of a target.
 
-        Incarnations are random; the router needs to know which is newer,
-        and a connection made later reaches the newer one.
+        Incarnations are random numbers, but the router needs them in order.
+        A later connection reaches the newer incarnation.
         """
         generation, incarnation = self._generations_by_target_id[
             link.target_id
@@ -297,44 +303,44 @@
         )
         return generation
 
-    def on_down(self, link):
+    def on_link_down(self, link):
         """Tell the router that a target is not connected."""
-        row = self._rows_by_target_id.get(link.target_id)
-        if row is None:
+        vm = self._vms_by_target_id.get(link.target_id)
+        if vm is None:
             return
-        self._services_by_name[row.service].feed(
+        self._services_by_name[vm.service].feed(
             routing_events.TargetUnreachable(target_id=link.target_id)
         )
 
-    def on_message(self, link, message):
-        """Take a target's message that belongs to no call."""
+    def on_link_message(self, link, message):
+        """Handle a message of a target that belongs to no call."""
         match message:
             case messages.Load():
-                self._take_load(link, message)
+                self._handle_load(link, message)
             case messages.HeirNamed():
-                self._follow_heir(message)
+                self._apply_heir(message)
 
-    def _follow_heir(self, named):
+    def _apply_heir(self, heir_message):
         heir = snapshots.Heir(
-            target_id=named.heir_target_id,
-            incarnation=named.heir_incarnation,
+            target_id=heir_message.heir_target_id,
+            incarnation=heir_message.heir_incarnation,
         )
-        for stamp in named.stamps:
+        for stamp in heir_message.stamps:
             self.routes.follow(
                 incarnation=stamp.incarnation,
                 heir=heir,
                 stamp_ms=stamp.stamp_ms,
             )
 
-    def _take_load(self, link, load):
+    def _handle_load(self, link, load):
         for stamp in load.stamps:
             self.routes.hear(stamp)
-        self.suspects.take(load.crash_reports)
-        row = self._rows_by_target_id.get(link.target_id)
-        if row is None:
+        self.suspect_requests.record_crash_reports(load.crash_reports)
+        vm = self._vms_by_target_id.get(link.target_id)
+        if vm is None:
             return
         generation, _ = self._generations_by_target_id[link.target_id]
-        service = self._services_by_name[row.service]
+        service = self._services_by_name[vm.service]
         service.feed(
             routing_events.LoadReported(
                 target_id=link.target_id,
@@ -349,18 +355,20 @@
             )
         )
         if load.draining:
-            self._report_leaving(link.target_id)
+            self._mark_leaving(link.target_id)
 
-    def _report_leaving(self, target_id):
+    def _mark_leaving(self, target_id):
         self._feed_target(target_id, routing_events.TargetLeaving)
 
     def _feed_target(self, target_id, event_class):
-        known = self._generations_by_target_id.get(target_id)
-        if known is None:
+        generation_record = self._generations_by_target_id.get(target_id)
+        if generation_record is None:
             return
         for service in self._services_by_name.values():
             service.feed(
-                event_class(target_id=target_id, incarnation=known[0])
+                event_class(
+                    target_id=target_id, incarnation=generation_record[0]
+                )
             )
 
 
--- a/packages/savoryyoke-entry/savoryyoke_entry/keyed.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/keyed.py
@@ -1,4 +1,4 @@
-"""Carry one attempt of a non-idempotent request to its bound target."""
+"""Send one attempt of a non-idempotent request to its bound target."""
 
 import dataclasses
 import functools
@@ -23,26 +23,28 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """Hold what was so when the head of a request was read.
+    """Describe the state of this entry when a request's head was read.
 
-    ``bound`` tells whether its key names a target. ``stamp_ms`` is the newest
-    stamp held for the key, 0 without one. Read later, with the body, it might
-    be newer than a refusal of the key.
+    ``at_s`` is a monotonic time. ``is_doubtful`` says that this process may
+    have been paused, so that the request may have arrived before ``at_s``.
+    ``is_bound`` says that the request's key names a target. ``stamp_ms`` is
+    the newest stamp held for the key, or 0 without one. A stamp looked up
+    later, with the body, might be newer than a refusal of the key.
     """
 
     at_s: float
-    doubtful: bool
-    bound: bool
+    is_doubtful: bool
+    is_bound: bool
     stamp_ms: int
 
 
-def note_arrival(scope, *, routes, doubtful, now_s):
+def record_arrival(scope, *, routes, is_doubtful, now_s):
     """Return the ``Arrival`` of a request whose head was just read."""
     key = _find_key(scope)
     return Arrival(
         at_s=now_s,
-        doubtful=doubtful,
-        bound=key is not None,
+        is_doubtful=is_doubtful,
+        is_bound=key is not None,
         stamp_ms=routes.find_stamp_ms(key) if key is not None else 0,
     )
 
@@ -59,11 +61,12 @@
 
 
 class KeyedRelay:
-    """Own one attempt of a non-idempotent request.
+    """Run one attempt of a non-idempotent request.
 
-    ``fleet`` knows the links and stamps, ``carried`` the answers that this
-    entry has passed on before. With a ``refusal`` the call must not run:
-    its key is sealed, and the refusal sent if the call has not run.
+    ``fleet`` is the ``fleet.Fleet`` with the links and stamps, and
+    ``carried`` holds the answers that this entry has already sent. If there
+    is a ``refusal``, a ``problems.Problem``, the call must not run: its key
+    is sealed, and the refusal is sent unless the call ran before.
     """
 
     def __init__(
@@ -91,7 +94,7 @@
         self._attempt = None
         self._tasks = None
         self._outcome = None
-        self._changed = anyio.Event()
+        self._state_changed = anyio.Event()
 
     async def run(self):
         """Answer the caller; return the name of the outcome."""
@@ -102,9 +105,9 @@
         self._attempt = self._build_attempt(key)
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            tasks.start_soon(self._watch_caller)
+            tasks.start_soon(self._watch_disconnect)
             self._feed(self._build_first_event())
-            await self._wait()
+            await self._wait_for_outcome()
             tasks.cancel_scope.cancel()
         if self._outcome is None:
             return 'caller-gone'
@@ -114,7 +117,7 @@
         return await keyed_outcomes.send_outcome(self._outcome, self._caller)
 
     def _build_first_event(self):
-        """Return the event that makes the attempt offer or seal its key."""
+        """Return the event on which the attempt sends its call or its seal."""
         if self._refusal is None:
             return attempt_events.Started()
         return attempt_events.Ticked()
@@ -130,7 +133,7 @@
         deadline_s = self._request.deadline_s
         limits = self._limits
         if self._refusal is not None:
-            # An attempt that wakes within its margin does nothing but seal.
+            # An attempt within the seal margin of its deadline only seals.
             deadline_s = min(deadline_s, self._clock() + conf.SEAL_TIMEOUT_S)
             limits = dataclasses.replace(
                 limits, seal_margin_s=conf.SEAL_TIMEOUT_S
@@ -143,7 +146,7 @@
             team=self._request.team_name,
             target=target_id,
             reason='heir' if target_id != key.target_id else 'key',
-            doubtful=self._arrival.doubtful,
+            doubtful=self._arrival.is_doubtful,
         )
         return machine.Attempt(
             attempt_id=self._attempt_id,
@@ -152,13 +155,13 @@
             target_id=target_id,
             stamp_ms=self._arrival.stamp_ms,
             deadline_s=deadline_s,
-            is_doubtful=self._arrival.doubtful,
+            is_doubtful=self._arrival.is_doubtful,
             carried=self._carried,
             limits=limits,
         )
 
     async def _refuse_unbound(self, detail):
-        binding = self._fleet.bind(self._request.route.service_name)
+        binding = self._fleet.make_binding(self._request.route.service_name)
         await self._caller.send_problem(
             problems.Problem(
                 name='binding-required',
@@ -170,19 +173,19 @@
         )
         return 'unbound'
 
-    async def _watch_caller(self):
+    async def _watch_disconnect(self):
         await self._caller.gone.wait()
         self._feed(attempt_events.CallerLeft())
-        self._changed.set()
+        self._state_changed.set()
 
-    async def _wait(self):
+    async def _wait_for_outcome(self):
         while True:
             wakes_s = self._attempt.wakes_s
             if wakes_s is None or self._outcome is not None:
                 return
             with anyio.move_on_at(wakes_s):
-                await self._changed.wait()
-            self._changed = anyio.Event()
+                await self._state_changed.wait()
+            self._state_changed = anyio.Event()
             self._feed(attempt_events.Ticked())
 
     def _feed(self, event):
@@ -196,17 +199,18 @@
     @_carry_out.register
     def _(self, decision: attempt_decisions.Deliver):
         self._outcome = decision.outcome
-        self._changed.set()
+        self._state_changed.set()
 
     @_carry_out.register
     def _(self, decision: attempt_decisions.Send):
-        # A caller that left cancels the tasks of its attempt, so the last
-        # message goes out here, if there is a connection.
+        # When the caller disconnects, the tasks of its attempt are cancelled.
+        # The last message is therefore sent here, without a task, if there
+        # is a connection.
         try:
             link = self._fleet.get_link(decision.target_id)
             channel = self._send(link, decision.message)
         except exceptions.LinkDown:
-            self._tasks.start_soon(self._reach, decision)
+            self._tasks.start_soon(self._connect_and_send, decision)
             return
         self._tasks.start_soon(self._receive, channel, decision.message.number)
 
@@ -215,11 +219,11 @@
         link.send(self._build_call(channel, message))
         return channel
 
-    async def _reach(self, decision):
-        """Connect to the target first, then send."""
+    async def _connect_and_send(self, decision):
+        """Connect to the target, then send the message."""
         number = decision.message.number
         try:
-            link = await self._fleet.reach(decision.target_id)
+            link = await self._fleet.connect_target(decision.target_id)
             channel = self._send(link, decision.message)
         except exceptions.LinkDown:
             await self._report_unreachable(number)
@@ -232,7 +236,7 @@
                 number=number, heir=self._find_heir()
             )
         )
-        self._changed.set()
+        self._state_changed.set()
 
     def _find_heir(self):
         key = self._attempt.key
@@ -243,7 +247,7 @@
 
     async def _receive(self, channel, number):
         head = None
-        parts = []
+        body_parts = []
         try:
             while True:
                 message = await channel.get()
@@ -251,18 +255,18 @@
                     case messages.Head():
                         head = message
                     case messages.Chunk():
-                        parts.append(message.data)
+                        body_parts.append(message.data)
                     case messages.End():
-                        answer = keyed_outcomes.build_answer(head, parts)
-                        self._take_outcome(number, answer)
+                        answer = keyed_outcomes.build_answer(head, body_parts)
+                        self._handle_outcome(number, answer)
                         return
                     case messages.Refusal():
-                        self._take_outcome(
+                        self._handle_outcome(
                             number, keyed_outcomes.read_refusal(message)
                         )
                         return
                     case messages.Redirect():
-                        self._follow(number, message)
+                        self._handle_redirect(number, message)
                         return
                     case _:
                         await self._report_unreachable(number)
@@ -270,13 +274,13 @@
         finally:
             channel.close(cancel=False)
 
-    def _take_outcome(self, number, outcome):
+    def _handle_outcome(self, number, outcome):
         self._feed(
             attempt_events.OutcomeReceived(number=number, outcome=outcome)
         )
-        self._changed.set()
+        self._state_changed.set()
 
-    def _follow(self, number, redirect):
+    def _handle_redirect(self, number, redirect):
         heir = snapshots.Heir(
             target_id=redirect.heir_target_id,
             incarnation=redirect.heir_incarnation,
@@ -287,11 +291,11 @@
             stamp_ms=redirect.stamp_ms,
         )
         self._feed(attempt_events.Redirected(number=number, heir=heir))
-        self._changed.set()
+        self._state_changed.set()
 
     def _build_call(self, channel, message):
         request = self._request
-        sealing = isinstance(message, ledger_events.SealRequested)
+        is_seal = isinstance(message, ledger_events.SealRequested)
         remaining_s = request.deadline_s - self._clock()
         return messages.Call(
             call_id=channel.call_id,
@@ -304,13 +308,13 @@
             idempotent=False,
             method=request.method,
             path=request.path,
-            headers=() if sealing else request.headers,
-            body=b'' if sealing else request.body,
+            headers=() if is_seal else request.headers,
+            body=b'' if is_seal else request.body,
             key=message.key.format(),
             fingerprint=message.fingerprint,
-            stamp_ms=0 if sealing else max(0, message.stamp_ms),
+            stamp_ms=0 if is_seal else max(0, message.stamp_ms),
             cost=request.cost,
-            seal_only=sealing,
+            seal_only=is_seal,
             attempt=message.attempt_id,
             number=message.number,
         )
--- a/packages/savoryyoke-entry/savoryyoke_entry/keyed_outcomes.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/keyed_outcomes.py
@@ -49,7 +49,7 @@
 @send_outcome.register
 async def _(outcome: outcomes.Ran, caller):
     answer = outcome.answer
-    await caller.send_whole(answer.status, answer.headers, answer.body)
+    await caller.send_complete(answer.status, answer.headers, answer.body)
     return 'ran'
 
 
--- a/packages/savoryyoke-entry/savoryyoke_entry/links.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/links.py
@@ -29,24 +29,25 @@
         """Return the next message of the target, or None at the end."""
         return await self._receive.receive()
 
-    def grant(self, size_bytes):
+    def grant_credit(self, size_bytes):
         """Let the target send ``size_bytes`` more."""
-        self._link.send_quietly(
+        self._link.send_if_up(
             messages.Credit(call_id=self.call_id, bytes=size_bytes)
         )
 
     def close(self, *, cancel):
         """Forget the call; ``cancel`` asks the target to stop it."""
-        self._link.forget(self.call_id)
+        self._link.remove_channel(self.call_id)
         if cancel:
-            self._link.send_quietly(messages.Cancel(call_id=self.call_id))
+            self._link.send_if_up(messages.Cancel(call_id=self.call_id))
 
 
 class Link:
     """Own the connection to one target process.
 
-    The owner is told of its state through ``on_up(link)``, ``on_down(link)``
-    and ``on_message(link, message)``.
+    ``owner`` is notified through ``on_link_up(link)``, ``on_link_down(link)``
+    and, for messages that belong to no call, ``on_link_message(link,
+    message)``.
     """
 
     def __init__(self, *, target_id, address, hello, timeout_s, owner):
@@ -56,15 +57,15 @@
         self._timeout_s = timeout_s
         self._owner = owner
         self._connection = None
-        self._numbers = itertools.count(1)
+        self._call_numbers = itertools.count(1)
         self._channels_by_call_id = {}
-        self._up = anyio.Event()
-        self.heard_at_s = -math.inf
+        self._up_event = anyio.Event()
+        self.last_message_at_s = -math.inf
 
     async def wait_until_up(self, timeout_s):
         """Return once there is a connection; raise ``LinkDown`` if not."""
         with anyio.move_on_after(timeout_s):
-            await self._up.wait()
+            await self._up_event.wait()
         if self._connection is None:
             raise exceptions.LinkDown(self.target_id)
 
@@ -77,7 +78,7 @@
         """Return the channel for a new call; raise ``LinkDown``."""
         if self._connection is None or self._connection.closed:
             raise exceptions.LinkDown(self.target_id)
-        channel = Channel(link=self, call_id=next(self._numbers))
+        channel = Channel(link=self, call_id=next(self._call_numbers))
         self._channels_by_call_id[channel.call_id] = channel
         return channel
 
@@ -90,14 +91,14 @@
         except edge_exceptions.ConnectionLost as error:
             raise exceptions.LinkDown(self.target_id) from error
 
-    def send_quietly(self, message):
+    def send_if_up(self, message):
         """Send ``message`` if the link is up."""
         try:
             self.send(message)
         except exceptions.LinkDown:
             return
 
-    def forget(self, call_id):
+    def remove_channel(self, call_id):
         """Drop the channel of a call."""
         self._channels_by_call_id.pop(call_id, None)
 
@@ -106,7 +107,7 @@
         delay_s = conf.LINK_RETRY_FIRST_S
         while True:
             try:
-                connection, early = await connections.connect(
+                connection, early_messages = await connections.connect(
                     address=self.address,
                     hello=self._hello,
                     timeout_s=self._timeout_s,
@@ -116,33 +117,33 @@
                 delay_s = min(delay_s * 2, conf.LINK_RETRY_LIMIT_S)
                 continue
             delay_s = conf.LINK_RETRY_FIRST_S
-            await self._serve(connection, early)
+            await self._serve(connection, early_messages)
 
-    async def _serve(self, connection, early):
+    async def _serve(self, connection, early_messages):
         self._connection = connection
         logs.write_event(
             'link_up',
             target=self.target_id,
             incarnation=f'{connection.peer.incarnation:016x}',
         )
-        self._owner.on_up(self)
-        self._up.set()
+        self._owner.on_link_up(self)
+        self._up_event.set()
         try:
-            await connection.run(self._take, early)
+            await connection.run(self._dispatch_message, early_messages)
         finally:
             self._connection = None
-            self._up = anyio.Event()
+            self._up_event = anyio.Event()
             logs.write_event('link_down', target=self.target_id)
-            self._owner.on_down(self)
+            self._owner.on_link_down(self)
             for channel in list(self._channels_by_call_id.values()):
                 channel.put(None)
             self._channels_by_call_id.clear()
 
-    def _take(self, message):
-        self.heard_at_s = anyio.current_time()
+    def _dispatch_message(self, message):
+        self.last_message_at_s = anyio.current_time()
         call_id = getattr(message, 'call_id', None)
         if call_id is None:
-            self._owner.on_message(self, message)
+            self._owner.on_link_message(self, message)
             return
         channel = self._channels_by_call_id.get(call_id)
         if channel is not None:
--- a/packages/savoryyoke-entry/savoryyoke_entry/metrics.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/metrics.py
@@ -36,11 +36,11 @@
             ),
             'savoryyoke_entry_targets_connected': (
                 'Targets with a connection.',
-                lambda: fleet.links_up,
+                lambda: fleet.connected_target_count,
             ),
             'savoryyoke_entry_targets_known': (
                 'Targets that should have a connection.',
-                lambda: fleet.links_wanted,
+                lambda: fleet.expected_target_count,
             ),
             'savoryyoke_entry_configuration_reports': (
                 'Faults found in configurations since the start.',
--- a/packages/savoryyoke-entry/savoryyoke_entry/observations.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/observations.py
@@ -19,7 +19,7 @@
         self._attempt_id = attempt_id
         self.target_id = target_id
         self._started_s = self._clock()
-        self._seen_first = False
+        self._has_first_chunk = False
         self._outcome = routing_events.Outcome.CANCELLED
         self._refused = False
         self.ended = False
@@ -27,7 +27,7 @@
     def __enter__(self):
         return self
 
-    def __exit__(self, kind, error, trace):
+    def __exit__(self, error_type, error, traceback):
         if self._refused:
             return
         self._service.feed(
@@ -38,11 +38,11 @@
             )
         )
 
-    def see(self, message):
+    def record_message(self, message):
         """Take note of one message of the target."""
         match message:
-            case messages.Chunk() if not self._seen_first:
-                self._seen_first = True
+            case messages.Chunk() if not self._has_first_chunk:
+                self._has_first_chunk = True
                 self._service.feed(
                     routing_events.FirstToken(
                         call_id=self._attempt_id,
@@ -54,12 +54,12 @@
                 self._outcome = routing_events.Outcome.ANSWERED
             case messages.Refusal():
                 self.ended = True
-                self._see_refusal(message)
+                self._record_refusal(message)
             case None:
                 self.ended = True
                 self._outcome = routing_events.Outcome.FAILED
 
-    def _see_refusal(self, refusal):
+    def _record_refusal(self, refusal):
         self._outcome = routing_events.Outcome.FAILED
         if refusal.outcome != messages.Outcome.NOT_RUN:
             return
--- a/packages/savoryyoke-entry/savoryyoke_entry/offers.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/offers.py
@@ -1,4 +1,4 @@
-"""Build the protocol's calls for idempotent requests."""
+"""Build the ``Call`` messages of idempotent requests."""
 
 import json
 
@@ -10,10 +10,11 @@
 def build_call(
     request, *, call_id, fingerprint, reports, resume_index, delivered, now_s
 ):
-    """Return the message that offers a request to a target.
+    """Return the ``Call`` message that sends a request to a target.
 
-    ``reports`` are those of a suspect. ``delivered`` holds the bytes of the
-    first ``resume_index`` events, which the caller already has.
+    ``reports`` are the crash reports of a suspect request. ``delivered``
+    holds the bytes of the first ``resume_index`` events, which the caller
+    has already received.
     """
     remaining_s = request.deadline_s - now_s
     return messages.Call(
@@ -31,7 +32,7 @@
         body=request.body,
         streamed=request.streamed,
         resume_index=resume_index,
-        resume_text=_read_texts(delivered) if resume_index else '',
+        resume_text=_extract_texts(delivered) if resume_index else '',
         cost=request.cost,
         credit_bytes=conf.CREDIT_BYTES,
         fingerprint=fingerprint,
@@ -39,13 +40,13 @@
     )
 
 
-def _read_texts(delivered):
-    """Return the text that the caller already has, for the next engine."""
+def _extract_texts(delivered):
+    """Return the text that the caller has received, to resume after it."""
     events = delivered.split(b'\n\n')
-    return ''.join(_read_text(event) for event in events if event)
+    return ''.join(_extract_text(event) for event in events if event)
 
 
-def _read_text(event):
+def _extract_text(event):
     """Return the text of one server-sent event of a completion."""
     try:
         choice = json.loads(event.removeprefix(b'data: '))['choices'][0]
--- a/packages/savoryyoke-entry/savoryyoke_entry/relays.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/relays.py
@@ -1,4 +1,4 @@
-"""Get the whole answer to an idempotent request from the targets."""
+"""Relay an idempotent request to targets until it is answered."""
 
 import functools
 
@@ -22,7 +22,7 @@
 from savoryyoke_entry import observations
 from savoryyoke_entry import offers
 from savoryyoke_entry import suspects
-from savoryyoke_entry import turns
+from savoryyoke_entry import wait_queues
 from savoryyoke_wire import conf as wire_conf
 from savoryyoke_wire import messages
 
@@ -37,17 +37,19 @@
 
 
 class Relay:
-    """Own one idempotent request until it is answered or refused.
+    """Send one idempotent request to targets, with retries.
 
-    ``router`` belongs to the request's service and ``links`` maps target
-    ids to connections.
+    ``service`` is the ``fleet.Service`` of the request, ``caller`` the
+    ``callers.Caller`` that gets the answer, and ``suspect_requests`` the
+    ``suspects.SuspectRequests`` of this entry. ``clock()`` returns monotonic
+    seconds.
     """
 
     def __init__(
         self, *, request, caller, service, suspect_requests, clock, call_id
     ):
         self._request = request
-        self._suspects = suspect_requests
+        self._suspect_requests = suspect_requests
         self._fingerprint = suspects.compute_fingerprint(request)
         self._choices = choices.TargetChoices(
             request=request,
@@ -56,7 +58,7 @@
             clock=clock,
             call_id=call_id,
         )
-        self._held_back = False
+        self._isolation_refused = False
         self._quarantined = False
         self._may_have_run = False
         self._caller = caller
@@ -67,15 +69,15 @@
         self._attempt = 0
         self._resume_index = 0
         self._head = None
-        self._parts = []
+        self._body_parts = []
         self._unreturned_bytes = 0
         self._finished = False
-        self._failed = False
+        self._is_final_failure = False
         self._not_run = False
-        self._tries = 0
+        self._try_count = 0
         self._retry_after_s = 0.0
         self._target_id = None
-        self._failure = retry_events.Failure.LOST
+        self._failure_kind = retry_events.Failure.LOST
         self._last_reason = 'no-target'
 
     async def run(self):
@@ -83,39 +85,42 @@
         try:
             return await self._run()
         finally:
-            left = retry_events.CallerLeft(call_id=self._call_id)
-            self._service.feed_retries(left)
+            caller_left = retry_events.CallerLeft(call_id=self._call_id)
+            self._service.feed_retries(caller_left)
 
     async def _run(self):
         while not self._finished:
-            verdict = self._suspects.offer(self._call_id, self._fingerprint)
+            verdict = self._suspect_requests.check_call(
+                self._call_id, self._fingerprint
+            )
             if self._is_quarantined(verdict):
-                return await self._refuse_for_good()
+                return await self._refuse_quarantined()
             choice = await self._choices.choose(verdict, self._attempt)
             if isinstance(choice, routing_decisions.NoTarget):
-                if self._may_wait(choice):
-                    await anyio.sleep(conf.ISOLATION_PAUSE_S)
+                if self._may_choose_again(choice):
+                    await anyio.sleep(conf.ISOLATION_RETRY_S)
                     continue
                 return await self._refuse(choice)
             await self._try_target(choice)
             if await self._wait_for_suspect():
                 continue
-            given_up = None if self._finished else self._ask_to_repeat()
-            if given_up is not None and not self._quarantined:
-                return await self._give_up(given_up)
+            give_up_decision = None if self._finished else self._decide_retry()
+            if give_up_decision is not None and not self._quarantined:
+                return await self._give_up(give_up_decision)
         if self._head.status < conf.SERVER_ERROR_STATUS:
-            self._suspects.note_success(self._fingerprint)
+            self._suspect_requests.record_success(self._fingerprint)
         return 'answered'
 
-    def _may_wait(self, refusal):
-        """Tell whether to ask again for want of a target.
+    def _may_choose_again(self, refusal):
+        """Return whether to repeat the choice after ``NoTarget``.
 
-        An answer that has begun cannot be refused, only broken off.
+        Once an answer has begun, it can't be refused any more, only
+        truncated; waiting for a target avoids that.
         """
         remaining_s = self._request.deadline_s - self._clock()
         return (
-            self._caller.started
-            and turns.may_find_target(refusal)
+            self._caller.answer_started
+            and wait_queues.may_find_target(refusal)
             and remaining_s > conf.ISOLATION_RESERVE_S
         )
 
@@ -125,23 +130,26 @@
         )
 
     async def _wait_for_suspect(self):
-        """Return whether to ask again, as another suspect was running.
+        """Wait after a refusal for isolation; return whether to try again.
 
-        Nothing was handed over, so this is not counted as a try.
+        The target did not accept the call, so this does not count as a try.
         """
         remaining_s = self._request.deadline_s - self._clock()
-        if not self._held_back or remaining_s < conf.ISOLATION_RESERVE_S:
+        if (
+            not self._isolation_refused
+            or remaining_s < conf.ISOLATION_RESERVE_S
+        ):
             return False
-        await anyio.sleep(conf.ISOLATION_PAUSE_S)
+        await anyio.sleep(conf.ISOLATION_RETRY_S)
         return True
 
-    def _report_try(self, target_id):
-        self._failure = retry_events.Failure.LOST
-        if self._held_back:
-            self._held_back = False
+    def _record_try(self, target_id):
+        self._failure_kind = retry_events.Failure.LOST
+        if self._isolation_refused:
+            self._isolation_refused = False
             return
         self._target_id = target_id
-        if self._tries:
+        if self._try_count:
             event = retry_events.TrySent(
                 call_id=self._call_id, target_id=target_id
             )
@@ -152,16 +160,16 @@
                 idempotent=True,
                 deadline=deadlines.Deadline(at_s=self._request.deadline_s),
             )
-        self._tries += 1
+        self._try_count += 1
         self._service.feed_retries(event)
 
-    def _ask_to_repeat(self):
-        """Return None to try again, else the decision to give up."""
-        self._held_back = False
-        failure = self._failure
+    def _decide_retry(self):
+        """Return None to try again, or the ``GiveUp`` decision."""
+        self._isolation_refused = False
+        failure = self._failure_kind
         if failure is retry_events.Failure.LOST:
             self._may_have_run = True
-        if self._failed:
+        if self._is_final_failure:
             failure = retry_events.Failure.FINAL
         (decision,) = self._service.feed_retries(
             retry_events.TryFailed(
@@ -176,7 +184,7 @@
         return None
 
     async def _try_target(self, choice):
-        self._report_try(choice.target_id)
+        self._record_try(choice.target_id)
         attempt_id = f'{self._call_id}.{self._attempt}'
         self._choices.exclude(choice.target_id)
         try:
@@ -184,8 +192,8 @@
             channel = link.open_channel()
             link.send(self._build_call(channel))
         except exceptions.LinkDown:
-            self._failure = retry_events.Failure.UNREACHABLE
-            await self._feed(self._build_broken('target unreachable'))
+            self._failure_kind = retry_events.Failure.UNREACHABLE
+            await self._feed(self._build_attempt_broken('target unreachable'))
             return
         self._service.feed(
             routing_events.Dispatched(
@@ -208,23 +216,25 @@
 
     async def _receive(self, channel, observation):
         attempt = self._attempt
-        done = False
+        is_complete = False
         try:
             with anyio.move_on_at(self._request.deadline_s):
                 while attempt == self._attempt and not self._finished:
                     message = await channel.get()
-                    observation.see(message)
-                    if self._note_isolation(message, observation.target_id):
+                    observation.record_message(message)
+                    if self._handle_isolation_refusal(
+                        message, observation.target_id
+                    ):
                         break
-                    await self._take(message, channel)
-                done = True
-            if not done:
+                    await self._handle_message(message, channel)
+                is_complete = True
+            if not is_complete:
                 self._last_reason = 'deadline'
-                self._failed = True
+                self._is_final_failure = True
         finally:
             channel.close(cancel=not observation.ended)
 
-    async def _take(self, message, channel):
+    async def _handle_message(self, message, channel):
         match message:
             case messages.Head():
                 self._head = message
@@ -243,10 +253,10 @@
                     attempt=self._attempt, total=message.total
                 )
             case messages.Refusal():
-                self._note_refusal(message)
-                event = self._build_broken(message.reason)
+                self._record_refusal(message)
+                event = self._build_attempt_broken(message.reason)
             case _:
-                event = self._build_broken('target lost')
+                event = self._build_attempt_broken('target lost')
         await self._feed(event)
         if isinstance(message, messages.Chunk):
             self._return_credit(channel, len(message.data))
@@ -254,34 +264,38 @@
     def _return_credit(self, channel, size_bytes):
         self._unreturned_bytes += size_bytes
         if self._unreturned_bytes >= conf.CREDIT_RETURN_BYTES:
-            channel.grant(self._unreturned_bytes)
+            channel.grant_credit(self._unreturned_bytes)
             self._unreturned_bytes = 0
 
-    def _note_isolation(self, message, target_id):
-        """Return whether a target holds the call back for a suspect."""
+    def _handle_isolation_refusal(self, message, target_id):
+        """Return whether ``message`` refuses the call for isolation.
+
+        A target refuses while it runs another suspect request, or the same
+        one.
+        """
         if not isinstance(message, messages.Refusal):
             return False
-        self._suspects.take(message.crash_reports)
+        self._suspect_requests.record_crash_reports(message.crash_reports)
         if message.reason not in _ISOLATING_REASONS:
             return False
-        self._note_refusal(message)
-        self._held_back = True
+        self._record_refusal(message)
+        self._isolation_refused = True
         self._last_reason = message.reason
-        self._choices.hold_back(
-            target_id, occupied=message.reason == wire_conf.ISOLATING_REASON
+        self._choices.readmit(
+            target_id, is_occupied=message.reason == wire_conf.ISOLATING_REASON
         )
         return True
 
-    def _note_refusal(self, refusal):
+    def _record_refusal(self, refusal):
         if refusal.reason == wire_conf.QUARANTINED_REASON:
             self._quarantined = True
         self._retry_after_s = refusal.retry_after_ms / 1000
         if refusal.outcome == messages.Outcome.NOT_RUN:
-            self._failure = _FAILURES_BY_REASON.get(
+            self._failure_kind = _FAILURES_BY_REASON.get(
                 refusal.reason, retry_events.Failure.OVERLOADED
             )
 
-    def _build_broken(self, reason):
+    def _build_attempt_broken(self, reason):
         self._last_reason = reason
         return stream_events.AttemptBroken(
             attempt=self._attempt, reason=reason
@@ -305,20 +319,20 @@
 
     @_carry_out.register
     async def _(self, decision: stream_decisions.Deliver):
-        if self._caller.started:
+        if self._caller.answer_started:
             await self._caller.send_part(decision.data)
         else:
-            self._parts.append(decision.data)
+            self._body_parts.append(decision.data)
 
     @_carry_out.register
     async def _(self, decision: stream_decisions.Finish):
         self._finished = True
-        if self._caller.started:
-            await self._caller.send_part(callers.DONE, last=True)
+        if self._caller.answer_started:
+            await self._caller.send_part(callers.DONE_EVENT, last=True)
             return
         headers = [(item.name, item.value) for item in self._head.headers]
-        await self._caller.send_whole(
-            self._head.status, headers, b''.join(self._parts)
+        await self._caller.send_complete(
+            self._head.status, headers, b''.join(self._body_parts)
         )
 
     @_carry_out.register
@@ -334,18 +348,20 @@
 
     @_carry_out.register
     async def _(self, decision: stream_decisions.Fail):
-        self._failed = True
+        self._is_final_failure = True
         self._last_reason = decision.reason
 
     def _is_event_stream(self, headers):
-        kinds = [
+        content_types = [
             value for name, value in headers if name.lower() == 'content-type'
         ]
-        return bool(kinds) and kinds[0].startswith(callers.STREAM_TYPE)
+        return bool(content_types) and content_types[0].startswith(
+            callers.STREAM_TYPE
+        )
 
     async def _refuse(self, choice):
-        """Tell the caller at once that no target is left to ask."""
-        if self._tries:
+        """Tell the caller at once that there is no target left to try."""
+        if self._try_count:
             return await self._send_refusal(
                 self._last_reason, choice.retry_after_s
             )
@@ -358,10 +374,10 @@
         )
         return 'refused'
 
-    async def _refuse_for_good(self):
-        """Tell the caller that sending the request again does not help."""
+    async def _refuse_quarantined(self):
+        """Tell the caller that the request is quarantined for good."""
         name = 'not-answered' if self._may_have_run else 'quarantined'
-        if self._caller.started:
+        if self._caller.answer_started:
             name = 'answer-truncated'
         logs.write_event(
             'call_quarantined',
@@ -374,22 +390,22 @@
         )
         return 'quarantined'
 
-    async def _give_up(self, given_up):
+    async def _give_up(self, give_up_decision):
         logs.write_event(
             'call_given_up',
             call=self._call_id,
-            reason=given_up.reason.value,
-            not_run=given_up.not_run,
+            reason=give_up_decision.reason.value,
+            not_run=give_up_decision.not_run,
             cause=self._last_reason,
         )
-        self._not_run = given_up.not_run
+        self._not_run = give_up_decision.not_run
         return await self._send_refusal(
-            self._last_reason, given_up.retry_after_s
+            self._last_reason, give_up_decision.retry_after_s
         )
 
     async def _send_refusal(self, reason, retry_after_s):
         name = 'not-run' if self._not_run else 'not-answered'
-        if self._caller.started:
+        if self._caller.answer_started:
             name = 'answer-truncated'
         await self._caller.send_problem(
             problems.Problem(
--- a/packages/savoryyoke-entry/savoryyoke_entry/requests.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/requests.py
@@ -50,14 +50,16 @@
     )
 
 
-async def read_request(scope, receive, *, table, teams, limit_bytes, now_s):
+async def read_request(
+    scope, receive, *, route_table, teams, limit_bytes, now_s
+):
     """Return the checked ``Request`` of an ASGI scope.
 
     ``table`` is a ``routes.RouteTable`` and ``teams`` the teams by name.
     Raise ``RequestRefused`` or ``CallerGone``.
     """
     headers_by_name = _read_headers(scope)
-    route = table.find(method=scope['method'], path=scope['path'])
+    route = route_table.find(method=scope['method'], path=scope['path'])
     if isinstance(route, routes.NoRoute):
         refuse('unknown-operation', 'no operation has this method and path')
     team_name = headers_by_name.get(conf.TEAM_HEADER, '')
@@ -114,11 +116,11 @@
 
 
 def _read_headers(scope):
-    if len(scope['headers']) > conf.HEADERS_LIMIT:
-        refuse('malformed-request', f'over {conf.HEADERS_LIMIT} headers')
+    if len(scope['headers']) > conf.HEADER_COUNT_LIMIT:
+        refuse('malformed-request', f'over {conf.HEADER_COUNT_LIMIT} headers')
     headers_by_name = {}
     for name, value in scope['headers']:
-        if len(value) > conf.HEADER_LIMIT_CHARACTERS:
+        if len(value) > conf.HEADER_VALUE_LIMIT_CHARACTERS:
             refuse('malformed-request', 'a header is too long')
         text = name.decode('latin-1')
         if text == conf.KEY_HEADER and text in headers_by_name:
@@ -128,7 +130,12 @@
 
 
 def _select_headers(scope):
-    own = {conf.TIMEOUT_HEADER, 'connection', 'content-length', 'host'}
+    excluded_names = {
+        conf.TIMEOUT_HEADER,
+        'connection',
+        'content-length',
+        'host',
+    }
     pairs = (
         (name.decode('latin-1'), value.decode('latin-1'))
         for name, value in scope['headers']
@@ -136,21 +143,21 @@
     return tuple(
         messages.Header(name=name, value=value)
         for name, value in pairs
-        if name not in own
+        if name not in excluded_names
     )
 
 
-def _read_timeout(headers_by_name, longest_s):
+def _read_timeout(headers_by_name, limit_s):
     text = headers_by_name.get(conf.TIMEOUT_HEADER)
     if text is None:
-        return longest_s
+        return limit_s
     try:
         timeout_s = float(text)
     except ValueError:
         timeout_s = -1.0
     if not 0 < timeout_s < float('inf'):
         refuse('malformed-request', f'{conf.TIMEOUT_HEADER} is not a time')
-    return min(timeout_s, longest_s)
+    return min(timeout_s, limit_s)
 
 
 def _build_path(scope):
@@ -187,20 +194,20 @@
     if not prompt:
         return ()
     text = prompt if isinstance(prompt, str) else json.dumps(prompt)
-    running = xxhash.xxh3_64()
+    hasher = xxhash.xxh3_64()
     digests = []
-    longest = conf.PREFIX_BLOCK_CHARACTERS * conf.PREFIX_BLOCKS_LIMIT
-    stop = min(len(text), longest) - conf.PREFIX_BLOCK_CHARACTERS + 1
+    limit_characters = conf.PREFIX_BLOCK_CHARACTERS * conf.PREFIX_LIMIT_BLOCKS
+    stop = min(len(text), limit_characters) - conf.PREFIX_BLOCK_CHARACTERS + 1
     for start in range(0, stop, conf.PREFIX_BLOCK_CHARACTERS):
         block = text[start : start + conf.PREFIX_BLOCK_CHARACTERS]
-        running.update(block.encode('utf-8', 'surrogatepass'))
-        digests.append(running.digest())
+        hasher.update(block.encode('utf-8', 'surrogatepass'))
+        digests.append(hasher.digest())
     return tuple(digests)
 
 
 def _compute_fingerprint(team, service, method, path, body):
-    running = xxhash.xxh3_128()
+    hasher = xxhash.xxh3_128()
     for part in (team, service, method, path):
-        running.update(part.encode('utf-8', 'surrogatepass') + b'\0')
-    running.update(body)
-    return running.digest()
+        hasher.update(part.encode('utf-8', 'surrogatepass') + b'\0')
+    hasher.update(body)
+    return hasher.digest()
--- a/packages/savoryyoke-entry/savoryyoke_entry/suspects.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/suspects.py
@@ -8,25 +8,25 @@
 from savoryyoke_edge import crash_reports
 
 
-class Suspects:
+class SuspectRequests:
     """Hold what this entry knows of requests that crash back ends."""
 
     def __init__(self, *, clock):
         self._clock = clock
         self._quarantine = aggregates.Quarantine()
 
-    def offer(self, call_id, fingerprint):
+    def check_call(self, call_id, fingerprint):
         """Return the quarantine's decision on a call about to be sent."""
         (decision,) = self._apply(
             events.CallOffered(call_id=call_id, fingerprint=fingerprint)
         )
         return decision
 
-    def note_success(self, fingerprint):
+    def record_success(self, fingerprint):
         """Clear a request that a back end has answered in full."""
         self._apply(events.CallSucceeded(fingerprint=fingerprint))
 
-    def take(self, reports):
+    def record_crash_reports(self, reports):
         """Take in the crash reports of a message."""
         if reports:
             self._apply(
@@ -45,7 +45,7 @@
     )
 
 
-class IsolatedChoice:
+class IsolatedTargetChoice:
     """Choose the target where one suspect runs apart from the others.
 
     ``choose(request)`` asks the router. All entries try the targets in the
@@ -54,30 +54,34 @@
 
     def __init__(self, *, fingerprint, choose):
         self._fingerprint = fingerprint
-        self._choose = choose
-        self._occupied = set()
+        self._choose_by_router = choose
+        self._occupied_target_ids = set()
 
     def choose(self, build_request, *, target_ids, excluded):
         """Return the first of the ranked targets that may take the call.
 
         ``build_request(excluded)`` makes the router's request.
         """
-        first_answer = None
+        first_refusal = None
         for target_id in isolation.rank_targets(
             fingerprint=self._fingerprint,
-            target_ids=target_ids - excluded - self._occupied,
+            target_ids=target_ids - excluded - self._occupied_target_ids,
         ):
-            others = target_ids - {target_id}
-            choice = self._choose(build_request(others | excluded))
+            other_target_ids = target_ids - {target_id}
+            choice = self._choose_by_router(
+                build_request(other_target_ids | excluded)
+            )
             if not isinstance(choice, routing_decisions.NoTarget):
                 return choice
-            first_answer = first_answer or choice
-        self._occupied.clear()
-        return first_answer or self._choose(build_request(target_ids))
+            first_refusal = first_refusal or choice
+        self._occupied_target_ids.clear()
+        return first_refusal or self._choose_by_router(
+            build_request(target_ids)
+        )
 
-    def note_occupied(self, target_id):
+    def mark_occupied(self, target_id):
         """Try the other targets first, as another suspect runs there.
 
         Once all were tried, the order starts afresh.
         """
-        self._occupied.add(target_id)
+        self._occupied_target_ids.add(target_id)
--- a/packages/savoryyoke-entry/savoryyoke_entry/team_limits.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/team_limits.py
@@ -1,4 +1,4 @@
-"""Hold teams to their limits at this entry, with loans from the others."""
+"""Enforce team limits at this entry, with loans from other entries."""
 
 import contextlib
 
@@ -14,12 +14,13 @@
 from savoryyoke_entry import conf
 from savoryyoke_wire import messages
 
-# Numbers of asks have to fit 64 bits together with a counter.
+# Numbers of loan requests combine this part of the incarnation with a
+# counter and have to fit into 64 bits.
 _INCARNATION_MASK = 2**32 - 1
 
 
 class TeamLimiter:
-    """Own this entry's part of the teams' limits."""
+    """Enforce this entry's part of the teams' limits."""
 
     def __init__(self, *, entry_id, incarnation, clock):
         self._entry_id = entry_id
@@ -31,8 +32,8 @@
         )
         self._addresses_by_entry_id = {}
 
-    def take_vms(self, vm_list):
-        """Follow the platform's list of VMs."""
+    def apply_vm_list(self, vm_list):
+        """Update the live entries from the platform's list of VMs."""
         self._addresses_by_entry_id = {
             vm.vm_id: vm.address
             for vm in vm_list.vms
@@ -41,8 +42,8 @@
         entry_ids = tuple(sorted(self._addresses_by_entry_id))
         self._apply(events.EntriesListed(entry_ids=entry_ids))
 
-    def take_teams(self, teams_by_name):
-        """Follow the limits of the configuration in force."""
+    def apply_teams(self, teams_by_name):
+        """Apply the team limits of the configuration in force."""
         limits_by_team = {
             name: limits_conf.TeamLimit(
                 requests_per_s=team.requests_per_s,
@@ -54,13 +55,17 @@
         self._apply(events.LimitsPublished(limits_by_team=limits_by_team))
 
     def may_serve(self, entry_id, *, team):
-        """Tell whether an entry admits calls of a team."""
+        """Return whether an entry admits calls of a team."""
         home_entry_ids = self._limits.home_entry_ids(team=team)
         return not home_entry_ids or entry_id in home_entry_ids
 
     @contextlib.contextmanager
     def admit(self, call_id, request):
-        """Count a call while it runs; enter with None or its refusal."""
+        """Count a call while it runs.
+
+        Yield None if the call is admitted, else the ``Problem`` that refuses
+        it.
+        """
         (decision,) = self._apply(
             events.CallArrived(
                 call_id=call_id, team=request.team_name, tokens=request.cost
@@ -74,32 +79,34 @@
         finally:
             self._apply(events.CallEnded(call_id=call_id))
 
-    def answer(self, request):
-        """Return what another entry gets of what it asks to borrow."""
-        made = self._apply(
+    def answer_loan_request(self, request):
+        """Return the ``LoanAnswer`` to another entry's loan request."""
+        grants = self._apply(
             events.LoanRequestReceived(
                 entry_id=request.entry_id,
                 rows=_read_rows(request.rows, decisions.LoanRequestRow),
             )
         )
-        rows = made[0].rows if made else ()
+        rows = grants[0].rows if grants else ()
         return messages.LoanAnswer(
             request_id=request.request_id, rows=_write_rows(rows)
         )
 
-    async def run(self, ask):
-        """Borrow until cancelled.
+    async def run(self, send_request):
+        """Request loans from other entries until cancelled.
 
-        ``ask(vm_id, build_request)`` returns another entry's answer or
-        raises ``ConnectionLost``.
+        ``send_request(vm_id, build_request)`` returns another entry's answer
+        or raises ``ConnectionLost``.
         """
         async with anyio.create_task_group() as tasks:
             while True:
                 await anyio.sleep(conf.LOAN_PERIOD_S)
                 for decision in self._apply(events.HeartbeatDue()):
-                    tasks.start_soon(self._borrow, ask, decision)
+                    tasks.start_soon(
+                        self._request_loan, send_request, decision
+                    )
 
-    async def _borrow(self, ask, decision):
+    async def _request_loan(self, send_request, decision):
         def build_request(request_id):
             return messages.LoanRequest(
                 request_id=request_id,
@@ -108,7 +115,7 @@
             )
 
         try:
-            answer = await ask(decision.entry_id, build_request)
+            answer = await send_request(decision.entry_id, build_request)
         except edge_exceptions.ConnectionLost as error:
             logs.write_event(
                 'loan_unanswered', entry=decision.entry_id, reason=str(error)
@@ -153,7 +160,10 @@
 
 
 def _read_rows(rows, row_class):
-    """Return the rows that make sense here; a later peer may know more."""
+    """Return the valid rows.
+
+    A peer of a newer version may send resources unknown to this one.
+    """
     resources_by_name = {item.value: item for item in limits_conf.Resource}
     return tuple(
         row_class(
