--- a/packages/savoryyoke-entry/savoryyoke_entry/__init__.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/__init__.py
@@ -1,1 +1,1 @@
-"""Entry daemon and operator commands."""
+"""Provide the entry daemon and the operators' commands."""
--- a/packages/savoryyoke-entry/savoryyoke_entry/__main__.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the binary savoryyoke."""
+"""Run the command ``savoryyoke``."""
 
 import sys
 
--- a/packages/savoryyoke-entry/savoryyoke_entry/application.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/application.py
@@ -1,4 +1,4 @@
-"""Answer callers: the directory of entries, and the services' operations."""
+"""Serve the directory and the services' operations to callers."""
 
 import dataclasses
 import itertools
@@ -17,7 +17,7 @@
 
 
 class Application:
-    """Serve callers over ASGI with what ``daemon`` knows."""
+    """Serve callers over ASGI with the state of ``daemon``."""
 
     def __init__(self, *, daemon, settings, clock, incarnation):
         self._daemon = daemon
@@ -49,7 +49,7 @@
             self.in_flight -= 1
 
     async def _report_failure(self, scope, caller, error):
-        """Log a fault of this program; never claim that nothing ran."""
+        """Log a fault of this program; the request may have run."""
         trace = ''.join(traceback.format_exception(error))
         logs.write_event(
             'request_failed', level='error', path=scope['path'], trace=trace
@@ -107,7 +107,7 @@
 
     async def _send_refusal(self, scope, caller, arrival, problem):
         if arrival.is_bound:
-            # An earlier attempt may have run; only the ledger knows.
+            # An earlier attempt may have run; only the ledger records it.
             problem = dataclasses.replace(
                 problem, outcome=problems.MAY_HAVE_RUN
             )
@@ -121,10 +121,10 @@
         await caller.send_problem(problem)
 
     async def _run_request(self, request, caller, call_id, arrival, refusal):
-        """Run the request beside a watch on its caller.
+        """Run the request while watching for the caller to disconnect.
 
-        With a ``refusal`` by the team's limit nothing is run; of a bound
-        key, the refusal is sent once the key is sealed.
+        A request with a ``refusal``, the ``Problem`` of its team's limit, does
+        not run. If it is not idempotent, its key is sealed first.
         """
         if refusal is not None and request.idempotent:
             await caller.send_problem(refusal)
--- a/packages/savoryyoke-entry/savoryyoke_entry/callers.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/callers.py
@@ -1,4 +1,4 @@
-"""Answer one caller over ASGI."""
+"""Send answers to one caller over ASGI."""
 
 import json
 
@@ -13,9 +13,10 @@
 
 
 class Caller:
-    """Own one caller's side of a request.
+    """Send the answer of one request to its caller.
 
-    ``gone`` is set once the caller has closed its connection.
+    ``gone`` is set once the caller has closed its connection, and
+    ``answer_started`` is true once the status has been sent.
     """
 
     def __init__(self, *, receive, send):
@@ -25,7 +26,7 @@
         self.answer_started = False
 
     async def watch_disconnect(self):
-        """Return when the caller has gone."""
+        """Set ``gone`` and return when the caller closes its connection."""
         while True:
             message = await self._receive()
             if message['type'] == 'http.disconnect':
@@ -44,7 +45,10 @@
         )
 
     async def send_part(self, data, *, last=False):
-        """Send the next bytes; wait while the caller reads slowly."""
+        """Send the next bytes; wait while the caller reads slowly.
+
+        Raise ``CallerGone`` once the caller has closed its connection.
+        """
         if self.gone.is_set():
             raise exceptions.CallerGone
         await self._send(
@@ -56,18 +60,18 @@
         )
 
     async def send_complete(self, status, headers, body):
-        """Send an answer that is known to be whole."""
+        """Send a complete answer, with its length."""
         length = str(len(body)).encode()
         pairs = [*to_pairs(headers), (b'content-length', length)]
         await self.start(status, pairs)
         await self.send_part(body, last=True)
 
     async def send_problem(self, problem):
-        """Send a refusal; after the answer has begun, break it off aloud."""
+        """Send a ``Problem``, or an error event once the answer has begun."""
         body = problem.build_body()
         if self.answer_started:
-            # The body stays without its end, so that no client can take
-            # it for a whole answer.
+            # The body is left unterminated, so that no client mistakes it
+            # for a complete answer.
             await self.send_part(ERROR_EVENT + body + b'\n\n')
             return
         headers = problem.build_headers()
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/check.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/check.py
@@ -2,7 +2,7 @@
 
 Usage: savoryyoke check BASE [OVERLAY ...]
 
-The base is judged on its own and then with each overlay. A valid pair gives
+The base is checked on its own and then with each overlay. A valid pair gives
 its digest, the one that daemons report once the pair is in force.
 """
 
@@ -12,7 +12,7 @@
 
 
 def check(base, *overlays):
-    """Judge the files; the status is 1 where one of them has a fault."""
+    """Check the files; the status is 1 if one of them has a fault."""
     lines = []
     problems = []
     for overlay in (None, *overlays):
@@ -27,7 +27,7 @@
     status = results.ExitStatus.NEGATIVE if problems else 0
     return results.Result(
         lines=tuple(lines),
-        # A fault of the base comes up again with each overlay.
+        # A fault of the base is found again with each overlay.
         problems=tuple(dict.fromkeys(problems)),
         status=results.ExitStatus(status),
     )
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/daemons.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/daemons.py
@@ -1,4 +1,4 @@
-"""Calls of a running daemon's admin address."""
+"""Call the admin address of a running daemon."""
 
 import os
 
@@ -16,10 +16,10 @@
 def call(method, address_text, path):
     """Return the body of the daemon's answer.
 
-    The token in ``SAVORYYOKE_ADMIN_TOKEN`` is sent where it is set. Raise
-    ``CommandError`` where the daemon cannot be reached or refuses.
+    The token in ``SAVORYYOKE_ADMIN_TOKEN`` is sent if it is set. Raise
+    ``CommandError`` if the daemon cannot be reached or refuses.
     """
-    address = _parse(address_text)
+    address = _parse_address(address_text)
     timeouts = {
         name: TIMEOUT_S for name in ('connect', 'read', 'write', 'pool')
     }
@@ -31,7 +31,7 @@
                 headers=_build_headers(),
                 extensions={'timeout': timeouts},
             ) as response:
-                body = _read(response)
+                body = _read_body(response)
     except (
         httpcore.NetworkError,
         httpcore.ProtocolError,
@@ -43,11 +43,11 @@
             ' admin address of a running daemon?',
             status=results.ExitStatus.UNREACHABLE,
         ) from None
-    _check(response.status, body, address)
+    _check_status(response.status, body, address)
     return body
 
 
-def _parse(text):
+def _parse_address(text):
     try:
         return addresses.parse_peer_address(text)
     except ValueError as error:
@@ -63,7 +63,7 @@
     return {'Authorization': f'Bearer {token}'}
 
 
-def _read(response):
+def _read_body(response):
     body = bytearray()
     for part in response.iter_stream():
         body += part
@@ -75,7 +75,7 @@
     return bytes(body)
 
 
-def _check(status, body, address):
+def _check_status(status, body, address):
     if 200 <= status < 300:
         return
     reason = ' '.join(body[:200].decode('utf-8', 'replace').split())
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/diff.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/diff.py
@@ -4,7 +4,7 @@
            [--old-overlay=FILE] [--new-overlay=FILE]
 
 --overlay is merged into both versions. Each line names one place: "+" added,
-"-" removed, "~" changed. The status is 1 where the two differ.
+"-" removed, "~" changed. The status is 1 if the two differ.
 """
 
 import json
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/drain.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/drain.py
@@ -1,10 +1,10 @@
-"""Ask a running daemon to drain: finish its requests and stop.
+"""Drain a running daemon: finish its requests and stop.
 
 Usage: savoryyoke drain ADMIN_ADDRESS
 
 ADMIN_ADDRESS is IP:PORT. The admin token is read from the environment
 variable SAVORYYOKE_ADMIN_TOKEN. The command returns once the daemon has
-taken the order; "savoryyoke status" shows how far it is.
+started to drain; "savoryyoke status" shows the progress.
 """
 
 from savoryyoke_edge.command_line import results
@@ -12,6 +12,6 @@
 
 
 def drain(admin_address):
-    """Send the order to the daemon at ``admin_address``."""
+    """Start the drain of the daemon at ``admin_address``."""
     daemons.call('POST', admin_address, '/drain')
     return results.Result(lines=(f'{admin_address}: draining',))
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/explain.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/explain.py
@@ -1,10 +1,10 @@
-"""Explain how a request would be routed and treated under a file.
+"""Explain how a request would be routed and handled.
 
 Usage: savoryyoke explain BASE [OVERLAY] --method=METHOD --path=PATH
            --team=TEAM [--key]
 
 --key says that the request carries an Idempotency-Key header. The status is
-1 where the request would be refused whatever the load.
+1 if the request would be refused at any load.
 """
 
 import functools
@@ -21,7 +21,7 @@
 
 @fire.decorators.SetParseFns(key=functools.partial(values.parse_flag, '--key'))
 def explain(base, overlay=None, *, method, path, team, key=False):
-    """Tell what becomes of one request."""
+    """Explain how one request is handled under the files."""
     outcome = files.require(base, overlay)
     if isinstance(outcome, results.Result):
         return outcome
@@ -55,8 +55,8 @@
 def _describe_no_route(route, method, path):
     line = f'refused with 404 unknown-operation: no operation has {method}'
     if route.methods:
-        known = ', '.join(route.methods)
-        return f'{line} {path}; the path takes {known}'
+        allowed_methods = ', '.join(route.methods)
+        return f'{line} {path}; the path takes {allowed_methods}'
     return f'{line} {path}'
 
 
@@ -99,8 +99,8 @@
         ('calls at once', team.max_concurrency),
     )
     for unit, limit in limits:
-        shown = 'no limit' if limit is None else f'{limit:g} in the fleet'
-        yield f'team limit, {unit}: {shown}'
+        limit_text = 'no limit' if limit is None else f'{limit:g} in the fleet'
+        yield f'team limit, {unit}: {limit_text}'
 
 
 def _describe_treatment(route, key):
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/files.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/files.py
@@ -1,4 +1,4 @@
-"""Reading of the operators' files that commands are given."""
+"""Read and check the operators' files that are named to commands."""
 
 import pathlib
 
@@ -29,13 +29,16 @@
 
 
 def judge(base, overlay):
-    """Return the outcome of the files ``base`` and ``overlay``, or None."""
+    """Return the ``Accepted`` or refused outcome of two files.
+
+    ``overlay`` is None if there is only the base.
+    """
     overlay_text = '' if overlay is None else read(overlay)
     return documents.build(read(base), overlay_text)
 
 
 def describe(found, *, base, overlay):
-    """Return a line for each fault, with the file that it lies in."""
+    """Yield a line for each fault, with the file that contains it."""
     for fault in found:
         path = overlay if fault.source is faults.Source.OVERLAY else base
         place = f'{path}: {fault.path}'.removesuffix(': ')
@@ -43,7 +46,7 @@
 
 
 def require(base, overlay):
-    """Return the ``Accepted`` outcome, or the ``Result`` that refuses."""
+    """Return the ``Accepted`` outcome, or a ``Result`` with the faults."""
     outcome = judge(base, overlay)
     if isinstance(outcome, documents.Accepted):
         return outcome
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/render.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/render.py
@@ -11,7 +11,7 @@
 
 
 def render(base, overlay=None):
-    """Print what is in force at a site once the files are accepted."""
+    """Print the configuration that the files give."""
     outcome = files.require(base, overlay)
     if isinstance(outcome, results.Result):
         return outcome
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/status.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/status.py
@@ -22,7 +22,7 @@
     json=functools.partial(values.parse_flag, '--json')
 )
 def status(admin_address, *, json=False):
-    """Ask the daemon at ``admin_address`` for its status."""
+    """Print the status of the daemon at ``admin_address``."""
     document = _parse(daemons.call('GET', admin_address, '/status'))
     if json:
         return results.Result(lines=(_format(document),))
--- a/packages/savoryyoke-entry/savoryyoke_entry/commands/values.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/commands/values.py
@@ -1,4 +1,4 @@
-"""Values of the flags of commands."""
+"""Parse the values of command flags."""
 
 from savoryyoke_edge.command_line import exceptions
 
@@ -6,7 +6,10 @@
 
 
 def parse_flag(name, text):
-    """Return the boolean that a flag ``name`` gives."""
+    """Return the boolean value of the flag ``name``.
+
+    Raise ``CommandError`` for any other text.
+    """
     try:
         return _FLAG_VALUES[text]
     except KeyError:
--- a/packages/savoryyoke-entry/savoryyoke_entry/conf.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/conf.py
@@ -1,4 +1,4 @@
-"""Defaults of the entry daemon, in one place."""
+"""Define the constants of the entry daemon."""
 
 CREDIT_BYTES = 256 * 1024
 CREDIT_RETURN_BYTES = 64 * 1024
@@ -23,10 +23,10 @@
 TIMEOUT_HEADER = 'savoryyoke-timeout-s'
 SERVER_ERROR_STATUS = 500
 ISOLATION_RETRY_S = 0.05
-# Time left at which a call stops waiting for another suspect's outcome.
+# A call stops waiting for another suspect's outcome when less time is left.
 ISOLATION_RESERVE_S = 0.2
-FIRST_TOKEN_TARGET_S = 0.68
-# Shares of the target for the first token, by priority, lowest first.
+FIRST_TOKEN_OBJECTIVE_S = 0.68
+# Longest waits, as shares of FIRST_TOKEN_OBJECTIVE_S, by priority from 0.
 WAIT_SHARES = (0.25, 0.5, 1.0, 3.0)
 WAITING_LIMIT_REQUESTS = 256
 WAIT_POLL_S = 0.005
--- a/packages/savoryyoke-entry/savoryyoke_entry/daemon.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/daemon.py
@@ -1,4 +1,4 @@
-"""Tie the parts of the entry daemon together."""
+"""Assemble and run the entry daemon."""
 
 import functools
 import secrets
@@ -30,7 +30,7 @@
 
 
 class Daemon:
-    """Serve callers: take requests and get them answered by targets."""
+    """Serve callers by relaying their requests to targets."""
 
     def __init__(self, *, settings):
         self._settings = settings
@@ -61,7 +61,7 @@
 
     @property
     def ready(self):
-        """Tell whether callers may be sent here."""
+        """Return whether this entry can serve callers."""
         return (
             self._route_table is not None
             and self._plane.vm_list is not None
@@ -71,11 +71,11 @@
         )
 
     def start_drain(self):
-        """Begin the planned stop of this process."""
+        """Start the planned stop of this process."""
         self._drain_requested.set()
 
     def build_status(self):
-        """Return what operators may see."""
+        """Return the status document for operators."""
         return {
             'role': 'entry',
             'vm_id': self._settings.vm_id,
@@ -98,7 +98,10 @@
         return self._pauses.observe(now_s=self._clock())
 
     def get_routes_and_teams(self):
-        """Return the route table and the teams, or refuse the request."""
+        """Return the route table and the teams by name.
+
+        Raise ``RequestRefused`` while no configuration is in force.
+        """
         if self._route_table is None:
             requests.refuse(
                 'cut-off',
@@ -117,11 +120,11 @@
         )
 
     def build_directory(self, scope):
-        """Return which entries a caller should use, and for how long."""
+        """Return the directory document for a caller, or a ``Problem``."""
         if self._route_table is None or self._plane.vm_list is None:
             return problems.Problem(
                 name='cut-off',
-                detail='this entry has just started; ask another',
+                detail='this entry has just started; use another',
                 retry_after_s=conf.RETRY_AFTER_S,
             )
         team = requests.read_team_name(scope)
@@ -231,24 +234,24 @@
         )
 
     def on_vm_list(self, vm_list):
-        """Follow the platform's list of VMs."""
+        """Apply the platform's list of VMs."""
         self.team_limiter.apply_vm_list(vm_list)
         self.fleet.apply_vm_list(vm_list)
         self._directory.apply_vm_list(vm_list)
 
     def on_member_changed(self, decision):
-        """Follow a change of a member."""
+        """Apply a membership change."""
         self.fleet.apply_membership_change(decision)
 
     def answer_loan(self, request):
-        """Return what another entry gets of what it asks to borrow."""
+        """Return the ``LoanAnswer`` to another entry's loan request."""
         return self.team_limiter.answer_loan_request(request)
 
     def on_attachments(self, vm_id, attachments):
-        """Take payloads of another process."""
+        """Ignore the attachments of another process."""
 
     def on_configuration_applied(self, applied):
-        """Follow the configuration in force."""
+        """Apply the configuration in force."""
         configuration = applied.configuration
         self._route_table = routes.RouteTable(configuration=configuration)
         self._teams = configuration.teams_by_name
@@ -268,7 +271,11 @@
             await anyio.sleep(conf.PAUSE_CHECK_S)
 
     async def _drain(self, server):
-        """Serve on while callers keep old answers, then finish and return."""
+        """Stop once no caller uses this entry.
+
+        Serve until the directory answers that list this entry have expired,
+        then wait for the requests in flight, up to the drain timeout.
+        """
         self._draining = True
         self._plane.start_leaving()
         logs.write_event('drain_started', vm=self._settings.vm_id)
--- a/packages/savoryyoke-entry/savoryyoke_entry/directories.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/directories.py
@@ -57,7 +57,7 @@
                 self._feed_entry(events.EntryLeaving, entry_id)
 
     def apply_data_centres_out(self, data_centres_out):
-        """Apply which data centres operators have taken out."""
+        """Apply the set of data centres that operators took out."""
         for name in sorted(data_centres_out - self._data_centres_out):
             self._feed(events.DataCentreOut(data_centre=name))
         for name in sorted(self._data_centres_out - data_centres_out):
@@ -102,7 +102,7 @@
             logs.write_event('contact_changed', cut_off=reason)
 
     def _record_message(self, vm, member, *, is_trusted):
-        """Report an entry that membership holds alive as in contact.
+        """Apply the membership state of an entry to the directory.
 
         In a large fleet an entry seldom gets a message from each other
         entry, so membership decides which are alive. ``is_trusted`` is false
--- a/packages/savoryyoke-entry/savoryyoke_entry/exceptions.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/exceptions.py
@@ -1,12 +1,12 @@
-"""Errors of the entry daemon."""
+"""Define the errors of the entry daemon."""
 
 
 class EntryError(Exception):
-    """Describe a fault of the entry daemon; the base of its errors."""
+    """Serve as the base of the entry daemon's errors."""
 
 
 class RequestRefused(EntryError):
-    """Report a request that is refused before it is offered to a target.
+    """Report a request that is refused before it is sent to a target.
 
     ``problem`` is the ``problems.Problem`` for the caller.
     """
--- a/packages/savoryyoke-entry/savoryyoke_entry/fleet.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/fleet.py
@@ -269,7 +269,7 @@
             scope.cancel()
 
     def on_link_up(self, link):
-        """Tell the router that a target is connected."""
+        """Notify the router that a target is connected."""
         vm = self._vms_by_target_id.get(link.target_id)
         if vm is None:
             return
@@ -304,7 +304,7 @@
         return generation
 
     def on_link_down(self, link):
-        """Tell the router that a target is not connected."""
+        """Notify the router that a target is not connected."""
         vm = self._vms_by_target_id.get(link.target_id)
         if vm is None:
             return
--- a/packages/savoryyoke-entry/savoryyoke_entry/keyed.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/keyed.py
@@ -92,7 +92,7 @@
         self._attempt_id = attempt_id
         self._arrival = arrival
         self._attempt = None
-        self._tasks = None
+        self._task_group = None
         self._outcome = None
         self._state_changed = anyio.Event()
 
@@ -104,7 +104,7 @@
             return await self._refuse_unbound(str(error))
         self._attempt = self._build_attempt(key)
         async with anyio.create_task_group() as tasks:
-            self._tasks = tasks
+            self._task_group = tasks
             tasks.start_soon(self._watch_disconnect)
             self._feed(self._build_first_event())
             await self._wait_for_outcome()
@@ -210,9 +210,11 @@
             link = self._fleet.get_link(decision.target_id)
             channel = self._send(link, decision.message)
         except exceptions.LinkDown:
-            self._tasks.start_soon(self._connect_and_send, decision)
+            self._task_group.start_soon(self._connect_and_send, decision)
             return
-        self._tasks.start_soon(self._receive, channel, decision.message.number)
+        self._task_group.start_soon(
+            self._receive, channel, decision.message.number
+        )
 
     def _send(self, link, message):
         channel = link.open_channel()
--- a/packages/savoryyoke-entry/savoryyoke_entry/keyed_outcomes.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/keyed_outcomes.py
@@ -1,4 +1,4 @@
-"""Turn targets' answers about a key into outcomes, and tell the caller."""
+"""Convert targets' answers to keyed calls and send them to callers."""
 
 import functools
 
@@ -10,7 +10,7 @@
 
 
 def build_answer(head, parts):
-    """Return the outcome of a call whose whole answer has arrived."""
+    """Return the outcome of a call whose answer is complete."""
     headers = tuple((item.name, item.value) for item in head.headers)
     return outcomes.Ran(
         answer=outcomes.Answer(
@@ -42,7 +42,7 @@
 
 @functools.singledispatch
 async def send_outcome(outcome, caller):
-    """Answer the caller with an attempt's outcome; return its name."""
+    """Send an attempt's outcome to the caller; return its name."""
     raise exceptions.EntryError(f'unknown outcome {outcome}')
 
 
--- a/packages/savoryyoke-entry/savoryyoke_entry/links.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/links.py
@@ -1,4 +1,4 @@
-"""Hold one connection to each target process and the calls on it."""
+"""Connect to the target processes and multiplex calls on each link."""
 
 import itertools
 import math
@@ -14,36 +14,38 @@
 
 
 class Channel:
-    """Receive the messages of one call; ``None`` says the link broke."""
+    """Receive the messages of one call; None means that the link broke."""
 
     def __init__(self, *, link, call_id):
         self._link = link
         self.call_id = call_id
-        self._send, self._receive = anyio.create_memory_object_stream(math.inf)
+        self._send_stream, self._receive_stream = (
+            anyio.create_memory_object_stream(math.inf)
+        )
 
     def put(self, message):
-        """Take a message of the target."""
-        self._send.send_nowait(message)
+        """Queue a message of the target; None if the link broke."""
+        self._send_stream.send_nowait(message)
 
     async def get(self):
-        """Return the next message of the target, or None at the end."""
-        return await self._receive.receive()
+        """Return the next message of the target, or None if the link broke."""
+        return await self._receive_stream.receive()
 
     def grant_credit(self, size_bytes):
-        """Let the target send ``size_bytes`` more."""
+        """Allow the target to send ``size_bytes`` more."""
         self._link.send_if_up(
             messages.Credit(call_id=self.call_id, bytes=size_bytes)
         )
 
     def close(self, *, cancel):
-        """Forget the call; ``cancel`` asks the target to stop it."""
+        """Drop the call; with ``cancel``, tell the target to stop it."""
         self._link.remove_channel(self.call_id)
         if cancel:
             self._link.send_if_up(messages.Cancel(call_id=self.call_id))
 
 
 class Link:
-    """Own the connection to one target process.
+    """Keep the connection to one target process.
 
     ``owner`` is notified through ``on_link_up(link)``, ``on_link_down(link)``
     and, for messages that belong to no call, ``on_link_message(link,
@@ -63,7 +65,10 @@
         self.last_message_at_s = -math.inf
 
     async def wait_until_up(self, timeout_s):
-        """Return once there is a connection; raise ``LinkDown`` if not."""
+        """Return once there is a connection.
+
+        Raise ``LinkDown`` if there is none after ``timeout_s``.
+        """
         with anyio.move_on_after(timeout_s):
             await self._up_event.wait()
         if self._connection is None:
@@ -71,11 +76,14 @@
 
     @property
     def peer(self):
-        """Return the target's greeting, or None while the link is down."""
+        """Return the target's ``Hello``, or None while the link is down."""
         return self._connection.peer if self._connection else None
 
     def open_channel(self):
-        """Return the channel for a new call; raise ``LinkDown``."""
+        """Return a channel for a new call.
+
+        Raise ``LinkDown`` without a connection.
+        """
         if self._connection is None or self._connection.closed:
             raise exceptions.LinkDown(self.target_id)
         channel = Channel(link=self, call_id=next(self._call_numbers))
@@ -92,18 +100,18 @@
             raise exceptions.LinkDown(self.target_id) from error
 
     def send_if_up(self, message):
-        """Send ``message`` if the link is up."""
+        """Send ``message`` if the link is up, else drop it."""
         try:
             self.send(message)
         except exceptions.LinkDown:
             return
 
     def remove_channel(self, call_id):
-        """Drop the channel of a call."""
+        """Remove the channel of a call."""
         self._channels_by_call_id.pop(call_id, None)
 
     async def run(self):
-        """Keep the link up until cancelled."""
+        """Connect, and reconnect when the link breaks, until cancelled."""
         delay_s = conf.LINK_RETRY_FIRST_S
         while True:
             try:
--- a/packages/savoryyoke-entry/savoryyoke_entry/metrics.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/metrics.py
@@ -4,7 +4,7 @@
 
 
 class EntryMetrics:
-    """Count requests and show what the entry knows."""
+    """Count requests and export gauges of the entry's state."""
 
     def __init__(self, *, registry):
         self._registry = registry
--- a/packages/savoryyoke-entry/savoryyoke_entry/observations.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/observations.py
@@ -1,4 +1,4 @@
-"""Tell the router how attempts went, and the log what was chosen."""
+"""Report the results of attempts to the router and log its choices."""
 
 from savoryyoke.routing import decisions as routing_decisions
 from savoryyoke.routing import events as routing_events
@@ -11,7 +11,7 @@
 
 
 class Observation:
-    """Tell the router how one attempt went."""
+    """Report the latency and the outcome of one attempt to the router."""
 
     def __init__(self, *, service, clock, attempt_id, target_id):
         self._service = service
@@ -39,7 +39,7 @@
         )
 
     def record_message(self, message):
-        """Take note of one message of the target."""
+        """Record one message of the target; None means that the link broke."""
         match message:
             case messages.Chunk() if not self._has_first_chunk:
                 self._has_first_chunk = True
@@ -77,7 +77,7 @@
 
 
 def log_choice(call_id, attempt, request, choice):
-    """Log what was chosen, from what, and why."""
+    """Log the chosen target, the candidates and the reason."""
     if isinstance(choice, routing_decisions.NoTarget):
         logs.write_event(
             'no_target',
--- a/packages/savoryyoke-entry/savoryyoke_entry/requests.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/requests.py
@@ -1,4 +1,4 @@
-"""Turn a caller's HTTP request into a checked one, or refuse it."""
+"""Read and validate the HTTP requests of callers."""
 
 import dataclasses
 import json
@@ -16,9 +16,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """Hold one checked request of a caller.
+    """Hold one validated request of a caller.
 
-    ``arrived_s`` and ``deadline_s`` are monotonic times.
+    ``arrived_s`` and ``deadline_s`` are monotonic times, and ``cost`` is the
+    largest number of tokens to generate, 1 without a limit in the request.
     """
 
     route: routes.Route
@@ -39,12 +40,12 @@
 
     @property
     def idempotent(self):
-        """Tell whether the operation may be repeated."""
+        """Return whether the operation may be repeated."""
         return self.route.operation.idempotent
 
 
 def refuse(name, detail='', **fields):
-    """Raise ``RequestRefused`` with the problem ``name``."""
+    """Raise ``RequestRefused`` with the ``Problem`` called ``name``."""
     raise exceptions.RequestRefused(
         problem=problems.Problem(name=name, detail=detail, **fields)
     )
@@ -53,10 +54,11 @@
 async def read_request(
     scope, receive, *, route_table, teams, limit_bytes, now_s
 ):
-    """Return the checked ``Request`` of an ASGI scope.
+    """Return the validated ``Request`` of an ASGI scope.
 
-    ``table`` is a ``routes.RouteTable`` and ``teams`` the teams by name.
-    Raise ``RequestRefused`` or ``CallerGone``.
+    ``route_table`` is a ``routes.RouteTable``, ``teams`` maps names to teams
+    and ``now_s`` is a monotonic time. Raise ``RequestRefused`` or
+    ``CallerGone``.
     """
     headers_by_name = _read_headers(scope)
     route = route_table.find(method=scope['method'], path=scope['path'])
@@ -92,13 +94,17 @@
 
 
 def read_team_name(scope):
-    """Return the team that a question for the directory names, or ''."""
+    """Return the team that a directory request names, or ''."""
     query = urllib.parse.parse_qs(scope['query_string'].decode('latin-1'))
     return query.get(conf.TEAM_PARAMETER, [''])[0]
 
 
 async def read_body(receive, *, limit_bytes):
-    """Return the whole body or refuse one that is too large or too slow."""
+    """Return the whole body.
+
+    Raise ``RequestRefused`` for a body that is too large or too slow, and
+    ``CallerGone``.
+    """
     body = bytearray()
     try:
         with anyio.fail_after(conf.BODY_TIMEOUT_S):
@@ -171,7 +177,7 @@
 
 
 def _parse_document(body):
-    """Return a JSON body's object; anything else has nothing to route by."""
+    """Return the object of a JSON body, or {} for any other body."""
     if not body.startswith(b'{'):
         return {}
     try:
@@ -189,7 +195,7 @@
 
 
 def _compute_digests(document):
-    """Return digests of ever longer prefixes of the prompt."""
+    """Return the digests of the prompt's prefixes, shortest first."""
     prompt = document.get('prompt') or document.get('messages')
     if not prompt:
         return ()
--- a/packages/savoryyoke-entry/savoryyoke_entry/suspects.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/suspects.py
@@ -1,4 +1,4 @@
-"""Keep requests that crash back ends apart, or refuse them for good."""
+"""Isolate or quarantine requests that are suspected of crashes."""
 
 from savoryyoke.quarantine import aggregates
 from savoryyoke.quarantine import events
@@ -9,25 +9,25 @@
 
 
 class SuspectRequests:
-    """Hold what this entry knows of requests that crash back ends."""
+    """Track the requests that are suspected of crashing back ends."""
 
     def __init__(self, *, clock):
         self._clock = clock
         self._quarantine = aggregates.Quarantine()
 
     def check_call(self, call_id, fingerprint):
-        """Return the quarantine's decision on a call about to be sent."""
+        """Return the quarantine's decision on a call before it is sent."""
         (decision,) = self._apply(
             events.CallOffered(call_id=call_id, fingerprint=fingerprint)
         )
         return decision
 
     def record_success(self, fingerprint):
-        """Clear a request that a back end has answered in full."""
+        """Clear a request that a back end has answered completely."""
         self._apply(events.CallSucceeded(fingerprint=fingerprint))
 
     def record_crash_reports(self, reports):
-        """Take in the crash reports of a message."""
+        """Record the crash reports of a message."""
         if reports:
             self._apply(
                 events.ReportsReceived(reports=crash_reports.unpack(reports))
@@ -38,7 +38,10 @@
 
 
 def compute_fingerprint(request):
-    """Return the digest by which all processes know a request's content."""
+    """Return the digest that identifies a request's content.
+
+    All processes compute the same digest.
+    """
     parts = (request.route.service_name, request.method, request.path)
     return fingerprints.compute_fingerprint(
         service='\0'.join(parts), body=request.body
@@ -46,10 +49,10 @@
 
 
 class IsolatedTargetChoice:
-    """Choose the target where one suspect runs apart from the others.
+    """Choose the target on which a suspect runs in isolation.
 
-    ``choose(request)`` asks the router. All entries try the targets in the
-    same order, so that the same request meets itself on one target.
+    ``choose(request)`` returns the router's choice. All entries try the
+    targets in the same order, so that copies of a request reach one target.
     """
 
     def __init__(self, *, fingerprint, choose):
@@ -58,9 +61,10 @@
         self._occupied_target_ids = set()
 
     def choose(self, build_request, *, target_ids, excluded):
-        """Return the first of the ranked targets that may take the call.
+        """Return the choice of the first ranked target that is available.
 
-        ``build_request(excluded)`` makes the router's request.
+        ``build_request(excluded)`` builds the router's request. If no target
+        is available, return the first ``NoTarget``.
         """
         first_refusal = None
         for target_id in isolation.rank_targets(
@@ -80,8 +84,8 @@
         )
 
     def mark_occupied(self, target_id):
-        """Try the other targets first, as another suspect runs there.
+        """Skip a target, because another suspect runs on it.
 
-        Once all were tried, the order starts afresh.
+        Once all targets were skipped or refused, none is skipped any more.
         """
         self._occupied_target_ids.add(target_id)
--- a/packages/savoryyoke-entry/savoryyoke_entry/wait_queues.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/wait_queues.py
@@ -74,7 +74,7 @@
     """Return how long a request of ``priority`` waits, in seconds."""
     shares = conf.WAIT_SHARES
     share = shares[max(0, min(priority, len(shares) - 1))]
-    return share * conf.FIRST_TOKEN_TARGET_S
+    return share * conf.FIRST_TOKEN_OBJECTIVE_S
 
 
 def may_find_target(refusal):
--- a/packages/savoryyoke-entry/tests/commands/__init__.py
+++ b/packages/savoryyoke-entry/tests/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the operators' commands."""
+"""Test the operators' commands."""
--- a/packages/savoryyoke-entry/tests/commands/console.py
+++ b/packages/savoryyoke-entry/tests/commands/console.py
@@ -1,4 +1,4 @@
-"""Running of the binary in this process, with its output captured."""
+"""Run the command line in this process and capture its output."""
 
 import contextlib
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Run:
-    """Hold what one command line gave."""
+    """Hold the exit status and the output of one command line."""
 
     status: int
     output: str
--- a/packages/savoryyoke-entry/tests/commands/test_command_line.py
+++ b/packages/savoryyoke-entry/tests/commands/test_command_line.py
@@ -1,4 +1,4 @@
-"""Tests of usage: help, exit statuses, and one clear line for a mistake."""
+"""Test help, exit statuses and the error lines of the command line."""
 
 import subprocess
 import sys
@@ -17,7 +17,7 @@
     '--site=north',
     '--platform-url=http://127.0.0.1:9',
 )
-# What each mistake must be told, and with which status.
+# Arguments, the expected exit status and a part of the error line.
 MISTAKES = (
     ((), STATUS.USAGE, 'no command'),
     (('chek',), STATUS.USAGE, 'did you mean check'),
@@ -46,11 +46,11 @@
 
 
 class MistakeTest(unittest.TestCase):
-    """Test that a mistake gives one line, with the place and the mend."""
+    """Test that a mistake gives one error line."""
 
     def setUp(self):
-        # A daemon whose port is taken: a mistake that is let through shows
-        # by this error instead of a daemon that serves for ever.
+        # A mistake that is not detected starts the daemon. The patch makes
+        # that fail with an error, so that the test does not hang.
         error = ExceptionGroup('tasks', [OSError('the port is taken')])
         patch = unittest.mock.patch(
             'savoryyoke_entry.commands.run.run', side_effect=error
@@ -92,7 +92,7 @@
 
 
 class HelpTest(unittest.TestCase):
-    """Test that every command tells how it is used."""
+    """Test that every command has a help text."""
 
     def test_overview_names_every_command(self):
         run = console.run('--help')
@@ -112,7 +112,7 @@
 
 
 class PrintSettingsTest(unittest.TestCase):
-    """Test that the settings are printed as they are understood."""
+    """Test that the settings are printed as they were parsed."""
 
     def test_values_stay_text_and_secrets_hidden(self):
         flags = ('--region=1e3', '--admin-token', 'hunter2')
@@ -123,7 +123,7 @@
 
 
 class ProcessTest(unittest.TestCase):
-    """Test the binary as a process of its own."""
+    """Test the command line in a process of its own."""
 
     def test_statuses_and_no_traceback(self):
         cases = (
--- a/packages/savoryyoke-entry/tests/commands/test_daemons.py
+++ b/packages/savoryyoke-entry/tests/commands/test_daemons.py
@@ -1,4 +1,4 @@
-"""Tests of the commands that call a running daemon."""
+"""Test the commands that call a running daemon."""
 
 import http.server
 import json
@@ -13,17 +13,17 @@
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """Answer as the admin address of a daemon does."""
+    """Imitate the admin address of a daemon."""
 
     body = b''
     drains = 0
 
     def do_GET(self):
-        """Give the status."""
+        """Return the status."""
         self._answer(200 if self.path == '/status' else 404, self.body)
 
     def do_POST(self):
-        """Take a drain with the right token."""
+        """Accept a drain with the right token."""
         if self.headers.get('Authorization') != f'Bearer {TOKEN}':
             self._answer(401, b'the admin token is missing\nor wrong\n')
             return
@@ -37,11 +37,11 @@
         self.wfile.write(body)
 
     def log_message(self, *arguments):
-        """Stay silent."""
+        """Write no log."""
 
 
 class DaemonTest(unittest.TestCase):
-    """Test status and drain against a stand-in for a daemon."""
+    """Test status and drain against a fake daemon."""
 
     def setUp(self):
         self.handler = type('FreshHandler', (Handler,), {})
--- a/packages/savoryyoke-entry/tests/commands/test_files.py
+++ b/packages/savoryyoke-entry/tests/commands/test_files.py
@@ -1,4 +1,4 @@
-"""Tests of the commands that read the operators' file."""
+"""Test the commands that read the operators' files."""
 
 import pathlib
 import tempfile
@@ -13,7 +13,7 @@
 
 
 class FileTestCase(unittest.TestCase):
-    """Hold a directory for files that a test writes."""
+    """Provide a directory for files that a test writes."""
 
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
