--- a/packages/savoryyoke-entry/savoryyoke_entry/callers.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/callers.py
@@ -1,4 +1,4 @@
-"""Answer one caller over ASGI."""
+"""Send answers to one caller over ASGI."""
 
 import json
 
@@ -6,26 +6,27 @@
 
 from savoryyoke_entry import exceptions
 
-DONE = b'data: [DONE]\n\n'
+DONE_EVENT = b'data: [DONE]\n\n'
 STREAM_TYPE = 'text/event-stream'
 ERROR_EVENT = b'event: error\ndata: '
 _REPLACED_HEADERS = frozenset({'content-length', 'transfer-encoding'})
 
 
 class Caller:
-    """Own one caller's side of a request.
+    """Send the answer of one request to its caller.
 
-    ``gone`` is set once the caller has closed its connection.
+    ``gone`` is set once the caller has closed its connection, and
+    ``answer_started`` is true once the status has been sent.
     """
 
     def __init__(self, *, receive, send):
         self._receive = receive
         self._send = send
         self.gone = anyio.Event()
-        self.started = False
+        self.answer_started = False
 
-    async def watch(self):
-        """Return when the caller has gone."""
+    async def watch_disconnect(self):
+        """Set ``gone`` and return when the caller closes its connection."""
         while True:
             message = await self._receive()
             if message['type'] == 'http.disconnect':
@@ -34,7 +35,7 @@
 
     async def start(self, status, headers):
         """Send the status and headers of an answer."""
-        self.started = True
+        self.answer_started = True
         await self._send(
             {
                 'type': 'http.response.start',
@@ -44,7 +45,10 @@
         )
 
     async def send_part(self, data, *, last=False):
-        """Send the next bytes; wait while the caller reads slowly."""
+        """Send the next bytes; wait while the caller reads slowly.
+
+        Raise ``CallerGone`` once the caller has closed its connection.
+        """
         if self.gone.is_set():
             raise exceptions.CallerGone
         await self._send(
@@ -55,19 +59,19 @@
             }
         )
 
-    async def send_whole(self, status, headers, body):
-        """Send an answer that is known to be whole."""
+    async def send_complete(self, status, headers, body):
+        """Send a complete answer, with its length."""
         length = str(len(body)).encode()
         pairs = [*to_pairs(headers), (b'content-length', length)]
         await self.start(status, pairs)
         await self.send_part(body, last=True)
 
     async def send_problem(self, problem):
-        """Send a refusal; after the answer has begun, break it off aloud."""
+        """Send a ``Problem``, or an error event once the answer has begun."""
         body = problem.build_body()
-        if self.started:
-            # The body stays without its end, so that no client can take
-            # it for a whole answer.
+        if self.answer_started:
+            # The body is left unterminated, so that no client mistakes it
+            # for a complete answer.
             await self.send_part(ERROR_EVENT + body + b'\n\n')
             return
         headers = problem.build_headers()
@@ -78,7 +82,7 @@
     async def send_json(self, value, status=200):
         """Send ``value`` as JSON."""
         headers = [('content-type', 'application/json')]
-        await self.send_whole(status, headers, json.dumps(value).encode())
+        await self.send_complete(status, headers, json.dumps(value).encode())
 
 
 def to_pairs(headers):
--- a/packages/savoryyoke-entry/savoryyoke_entry/conf.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/conf.py
@@ -1,4 +1,4 @@
-"""Defaults of the entry daemon, in one place."""
+"""Define the constants of the entry daemon."""
 
 CREDIT_BYTES = 256 * 1024
 CREDIT_RETURN_BYTES = 64 * 1024
@@ -6,15 +6,15 @@
 LINK_RETRY_LIMIT_S = 1.0
 BODY_TIMEOUT_S = 10.0
 PATH_LIMIT_CHARACTERS = 2048
-HEADERS_LIMIT = 64
-HEADER_LIMIT_CHARACTERS = 8192
+HEADER_COUNT_LIMIT = 64
+HEADER_VALUE_LIMIT_CHARACTERS = 8192
 PREFIX_BLOCK_CHARACTERS = 256
-PREFIX_BLOCKS_LIMIT = 64
+PREFIX_LIMIT_BLOCKS = 64
 PAUSE_CHECK_S = 0.1
 DRAIN_POLL_S = 0.05
 RETRY_AFTER_S = 1.0
 DIRECTORY_PATH = '/v1/directory'
-DIRECTORY_TICK_S = 0.5
+DIRECTORY_PERIOD_S = 0.5
 TARGET_SILENCE_S = 2.0
 DATA_CENTRE_PARAMETER = 'data_centre'
 TEAM_PARAMETER = 'team'
@@ -22,13 +22,13 @@
 KEY_HEADER = 'idempotency-key'
 TIMEOUT_HEADER = 'savoryyoke-timeout-s'
 SERVER_ERROR_STATUS = 500
-ISOLATION_PAUSE_S = 0.05
-# Time left at which a call stops waiting for another suspect's outcome.
+ISOLATION_RETRY_S = 0.05
+# A call stops waiting for another suspect's outcome when less time is left.
 ISOLATION_RESERVE_S = 0.2
-FIRST_TOKEN_TARGET_S = 0.68
-# Shares of the target for the first token, by priority, lowest first.
+FIRST_TOKEN_OBJECTIVE_S = 0.68
+# Longest waits, as shares of FIRST_TOKEN_OBJECTIVE_S, by priority from 0.
 WAIT_SHARES = (0.25, 0.5, 1.0, 3.0)
-WAITING_LIMIT = 256
-TURN_POLL_S = 0.005
+WAITING_LIMIT_REQUESTS = 256
+WAIT_POLL_S = 0.005
 LOAN_PERIOD_S = 1.0
 SEAL_TIMEOUT_S = 1.0
--- a/packages/savoryyoke-entry/savoryyoke_entry/requests.py
+++ b/packages/savoryyoke-entry/savoryyoke_entry/requests.py
@@ -1,4 +1,4 @@
-"""Turn a caller's HTTP request into a checked one, or refuse it."""
+"""Read and validate the HTTP requests of callers."""
 
 import dataclasses
 import json
@@ -16,9 +16,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """Hold one checked request of a caller.
+    """Hold one validated request of a caller.
 
-    ``arrived_s`` and ``deadline_s`` are monotonic times.
+    ``arrived_s`` and ``deadline_s`` are monotonic times, and ``cost`` is the
+    largest number of tokens to generate, 1 without a limit in the request.
     """
 
     route: routes.Route
@@ -39,25 +40,28 @@
 
     @property
     def idempotent(self):
-        """Tell whether the operation may be repeated."""
+        """Return whether the operation may be repeated."""
         return self.route.operation.idempotent
 
 
 def refuse(name, detail='', **fields):
-    """Raise ``RequestRefused`` with the problem ``name``."""
+    """Raise ``RequestRefused`` with the ``Problem`` called ``name``."""
     raise exceptions.RequestRefused(
         problem=problems.Problem(name=name, detail=detail, **fields)
     )
 
 
-async def read_request(scope, receive, *, table, teams, limit_bytes, now_s):
-    """Return the checked ``Request`` of an ASGI scope.
+async def read_request(
+    scope, receive, *, route_table, teams, limit_bytes, now_s
+):
+    """Return the validated ``Request`` of an ASGI scope.
 
-    ``table`` is a ``routes.RouteTable`` and ``teams`` the teams by name.
-    Raise ``RequestRefused`` or ``CallerGone``.
+    ``route_table`` is a ``routes.RouteTable``, ``teams`` maps names to teams
+    and ``now_s`` is a monotonic time. Raise ``RequestRefused`` or
+    ``CallerGone``.
     """
     headers_by_name = _read_headers(scope)
-    route = table.find(method=scope['method'], path=scope['path'])
+    route = route_table.find(method=scope['method'], path=scope['path'])
     if isinstance(route, routes.NoRoute):
         refuse('unknown-operation', 'no operation has this method and path')
     team_name = headers_by_name.get(conf.TEAM_HEADER, '')
@@ -90,13 +94,17 @@
 
 
 def read_team_name(scope):
-    """Return the team that a question for the directory names, or ''."""
+    """Return the team that a directory request names, or ''."""
     query = urllib.parse.parse_qs(scope['query_string'].decode('latin-1'))
     return query.get(conf.TEAM_PARAMETER, [''])[0]
 
 
 async def read_body(receive, *, limit_bytes):
-    """Return the whole body or refuse one that is too large or too slow."""
+    """Return the whole body.
+
+    Raise ``RequestRefused`` for a body that is too large or too slow, and
+    ``CallerGone``.
+    """
     body = bytearray()
     try:
         with anyio.fail_after(conf.BODY_TIMEOUT_S):
@@ -114,11 +122,11 @@
 
 
 def _read_headers(scope):
-    if len(scope['headers']) > conf.HEADERS_LIMIT:
-        refuse('malformed-request', f'over {conf.HEADERS_LIMIT} headers')
+    if len(scope['headers']) > conf.HEADER_COUNT_LIMIT:
+        refuse('malformed-request', f'over {conf.HEADER_COUNT_LIMIT} headers')
     headers_by_name = {}
     for name, value in scope['headers']:
-        if len(value) > conf.HEADER_LIMIT_CHARACTERS:
+        if len(value) > conf.HEADER_VALUE_LIMIT_CHARACTERS:
             refuse('malformed-request', 'a header is too long')
         text = name.decode('latin-1')
         if text == conf.KEY_HEADER and text in headers_by_name:
@@ -128,7 +136,12 @@
 
 
 def _select_headers(scope):
-    own = {conf.TIMEOUT_HEADER, 'connection', 'content-length', 'host'}
+    excluded_names = {
+        conf.TIMEOUT_HEADER,
+        'connection',
+        'content-length',
+        'host',
+    }
     pairs = (
         (name.decode('latin-1'), value.decode('latin-1'))
         for name, value in scope['headers']
@@ -136,21 +149,21 @@
     return tuple(
         messages.Header(name=name, value=value)
         for name, value in pairs
-        if name not in own
+        if name not in excluded_names
     )
 
 
-def _read_timeout(headers_by_name, longest_s):
+def _read_timeout(headers_by_name, limit_s):
     text = headers_by_name.get(conf.TIMEOUT_HEADER)
     if text is None:
-        return longest_s
+        return limit_s
     try:
         timeout_s = float(text)
     except ValueError:
         timeout_s = -1.0
     if not 0 < timeout_s < float('inf'):
         refuse('malformed-request', f'{conf.TIMEOUT_HEADER} is not a time')
-    return min(timeout_s, longest_s)
+    return min(timeout_s, limit_s)
 
 
 def _build_path(scope):
@@ -164,7 +177,7 @@
 
 
 def _parse_document(body):
-    """Return a JSON body's object; anything else has nothing to route by."""
+    """Return the object of a JSON body, or {} for any other body."""
     if not body.startswith(b'{'):
         return {}
     try:
@@ -182,25 +195,25 @@
 
 
 def _compute_digests(document):
-    """Return digests of ever longer prefixes of the prompt."""
+    """Return the digests of the prompt's prefixes, shortest first."""
     prompt = document.get('prompt') or document.get('messages')
     if not prompt:
         return ()
     text = prompt if isinstance(prompt, str) else json.dumps(prompt)
-    running = xxhash.xxh3_64()
+    hasher = xxhash.xxh3_64()
     digests = []
-    longest = conf.PREFIX_BLOCK_CHARACTERS * conf.PREFIX_BLOCKS_LIMIT
-    stop = min(len(text), longest) - conf.PREFIX_BLOCK_CHARACTERS + 1
+    limit_characters = conf.PREFIX_BLOCK_CHARACTERS * conf.PREFIX_LIMIT_BLOCKS
+    stop = min(len(text), limit_characters) - conf.PREFIX_BLOCK_CHARACTERS + 1
     for start in range(0, stop, conf.PREFIX_BLOCK_CHARACTERS):
         block = text[start : start + conf.PREFIX_BLOCK_CHARACTERS]
-        running.update(block.encode('utf-8', 'surrogatepass'))
-        digests.append(running.digest())
+        hasher.update(block.encode('utf-8', 'surrogatepass'))
+        digests.append(hasher.digest())
     return tuple(digests)
 
 
 def _compute_fingerprint(team, service, method, path, body):
-    running = xxhash.xxh3_128()
+    hasher = xxhash.xxh3_128()
     for part in (team, service, method, path):
-        running.update(part.encode('utf-8', 'surrogatepass') + b'\0')
-    running.update(body)
-    return running.digest()
+        hasher.update(part.encode('utf-8', 'surrogatepass') + b'\0')
+    hasher.update(body)
+    return hasher.digest()
