--- a/tests/support.py
+++ b/tests/support.py
@@ -9,11 +9,11 @@
 
 WAIT_S = 20.0
 POLL_S = 0.02
-LOG_SHOWN = 4000
+SHOWN_LOG_CHARACTERS = 4000
 
 
 class FleetTestCase(unittest.TestCase):
-    """Start a fleet for the class and end it after the last test."""
+    """Start a fleet for the class and stop it after the last test."""
 
     base_text = fleets.BASE_TEXT
     entries = fleets.ENTRIES
@@ -21,7 +21,7 @@
 
     @classmethod
     def setUpClass(cls):
-        """Start the processes."""
+        """Start the processes of the fleet."""
         super().setUpClass()
         cls.fleet = fleets.Fleet(
             base_text=cls.base_text, entries=cls.entries, targets=cls.targets
@@ -29,7 +29,7 @@
         cls.enterClassContext(cls.fleet)
 
     def setUp(self):
-        """Ask the directory which entry to use."""
+        """Create a client and read the directory of entries."""
         super().setUp()
         self.client = clients.Client(
             team='members', entry_addresses=self.fleet.entry_addresses
@@ -37,17 +37,17 @@
         self.client.ask_directory()
 
     def assert_stopped(self, process):
-        """Check that a process ends well; show what it wrote if not."""
+        """Check that a process exits with status 0; if not, show its log."""
         status = process.wait()
-        self.assertEqual(0, status, process.read_log()[-LOG_SHOWN:])
+        self.assertEqual(0, status, process.read_log()[-SHOWN_LOG_CHARACTERS:])
 
     def count_runs(self, reference):
-        """Return how often a payment ran in the whole fleet."""
+        """Return how often a payment ran, over all targets."""
         return self.fleet.count_runs().get(reference, 0)
 
 
 class Background:
-    """Run one call in a thread and hand out its answer."""
+    """Run one call in a thread and return its answer on request."""
 
     def __init__(self, function, *arguments, **options):
         self._answer = None
@@ -64,20 +64,26 @@
             self._error = error
 
     def get(self):
-        """Return the answer, or raise what the call raised."""
+        """Return the answer, or raise the error of the call.
+
+        Raise ``TimeoutError`` if there is no answer after ``WAIT_S`` seconds.
+        """
         self._thread.join(WAIT_S)
         if self._thread.is_alive():
-            raise TimeoutError('the call has no answer')
+            raise TimeoutError('the call was not answered in time')
         if self._error is not None:
             raise self._error
         return self._answer
 
 
 def wait_until(condition):
-    """Wait until ``condition()`` is true or raise ``TimeoutError``."""
+    """Poll until ``condition()`` is true.
+
+    Raise ``TimeoutError`` if it is still false after ``WAIT_S`` seconds.
+    """
     deadline_s = time.monotonic() + WAIT_S
     while time.monotonic() < deadline_s:
         if condition():
             return
         time.sleep(POLL_S)
-    raise TimeoutError('the condition stays false')
+    raise TimeoutError('the condition did not become true in time')
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Prove that callers get whole answers or true refusals."""
+"""Test that callers get complete answers or accurate refusals."""
 
 import json
 import socket
@@ -11,7 +11,7 @@
 
 TOKENS = 40
 ENGINES = ('engine-a', 'engine-b', 'engine-c')
-# Entries take a target that is silent for two seconds for unreachable.
+# Entries treat a target as unreachable after two seconds without a message.
 SILENCE_S = 2.5
 OUTAGE_S = 1.0
 
@@ -20,7 +20,7 @@
     """Test streamed answers while engines and targets fail."""
 
     def tearDown(self):
-        """Switch the faults off again."""
+        """Restart stopped processes and switch the faults off."""
         for vm_id in ENGINES:
             if not self.fleet.processes_by_name[f'{vm_id}.backend'].running:
                 self.fleet.start_backend(vm_id)
@@ -36,19 +36,19 @@
         super().tearDown()
 
     def assert_whole(self, answer):
-        """Check that each token came once, in order, with an end."""
+        """Check for each token once, in order, and an end event."""
         self.assertEqual(200, answer.status)
         indexes, ended = clients.read_tokens(answer)
         self.assertEqual(list(range(TOKENS)), indexes)
         self.assertTrue(ended)
 
     def set_faults(self, *vm_ids, **faults):
-        """Switch faults of several engines on."""
+        """Set the given faults on several engines."""
         for vm_id in vm_ids:
             self.fleet.set_backend_faults(vm_id, **faults)
 
     def find_serving_targets(self):
-        """Return the targets that run a call now."""
+        """Return the VM ids of the targets that are running a call."""
         return [
             vm_id
             for vm_id in ENGINES
@@ -77,19 +77,19 @@
         )
         support.wait_until(self.find_serving_targets)
         (serving,) = self.find_serving_targets()
-        others = [
+        other_targets = [
             self.fleet.processes_by_name[vm_id]
             for vm_id in ENGINES
             if vm_id != serving
         ]
-        for process in others:
+        for process in other_targets:
             process.freeze()
         try:
             time.sleep(SILENCE_S)
             self.fleet.processes_by_name[serving].kill()
             time.sleep(OUTAGE_S)
         finally:
-            for process in others:
+            for process in other_targets:
                 process.thaw()
         self.assert_whole(call.get())
 
@@ -158,22 +158,24 @@
                 self.assert_whole(answer)
             while b'data: [DONE]\n\n' not in received[-100:]:
                 part = slow.recv(65536)
-                self.assertTrue(part, 'the answer broke off')
+                self.assertTrue(
+                    part, 'connection closed before the end of the answer'
+                )
                 received += part
         self.assertEqual(20000, received.count(b'token_index'))
 
 
 class BadInputTests(support.FleetTestCase):
-    """Test callers that send what they should not."""
+    """Test malformed, oversized, slow and forged input."""
 
     def send(self, data):
-        """Send raw bytes and return all that comes back."""
+        """Send raw bytes; return all received bytes until the close."""
         host, port = self.client.address.split(':')
-        with socket.create_connection((host, int(port))) as caller:
-            caller.settimeout(support.WAIT_S)
-            caller.sendall(data)
+        with socket.create_connection((host, int(port))) as connection:
+            connection.settimeout(support.WAIT_S)
+            connection.sendall(data)
             received = b''
-            while part := caller.recv(65536):
+            while part := connection.recv(65536):
                 received += part
             return received
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,10 +1,10 @@
-"""Prove with real processes that configuration is in force everywhere."""
+"""Test with real processes that every daemon applies configurations."""
 
 from savoryyoke_fakes import clients
 from savoryyoke_fakes import fleets
 from tests import support
 
-BOUND_S = 19.0
+CHANGE_BOUND_S = 19.0
 OVERLAY_REVISION = 2
 NEW_TEAM = '  surveyors: {weight: 1.0}\n'
 DAEMONS = tuple(place.vm_id for place in fleets.ENTRIES + fleets.TARGETS)
@@ -14,16 +14,16 @@
     """Test changes, refusals and outages of the configuration service."""
 
     def setUp(self):
-        """Publish the usual file and remember what is in force."""
+        """Make the platform reachable."""
         super().setUp()
         self.fleet.set_platform_down(False)
 
     def read_revisions(self):
-        """Return the set of revisions in force over all daemons."""
+        """Return the set of revisions that the daemons have applied."""
         return {self.fleet.read_status(vm_id)['revision'] for vm_id in DAEMONS}
 
-    def read_reports(self, vm_id):
-        """Return how many faults of configurations a daemon counts."""
+    def read_fault_count(self, vm_id):
+        """Return how many configuration faults a daemon has reported."""
         address = self.fleet.admin_addresses_by_name[vm_id]
         text = clients.call('GET', address, '/metrics').body.decode()
         (line,) = [
@@ -34,16 +34,16 @@
         return float(line.split()[1])
 
     def publish_and_wait(self, text):
-        """Publish a base and wait until it is in force everywhere."""
+        """Publish a base; return the seconds until all daemons applied it."""
         started_s = support.time.monotonic()
         revision = self.fleet.publish('base', text)
-        wanted = {f'{revision}.{OVERLAY_REVISION}'}
-        support.wait_until(lambda: self.read_revisions() == wanted)
+        expected_revisions = {f'{revision}.{OVERLAY_REVISION}'}
+        support.wait_until(lambda: self.read_revisions() == expected_revisions)
         return support.time.monotonic() - started_s
 
-    def test_change_is_in_force_everywhere_within_the_bound(self):
+    def test_all_daemons_apply_a_change_within_the_bound(self):
         elapsed_s = self.publish_and_wait(fleets.BASE_TEXT + NEW_TEAM)
-        self.assertLess(elapsed_s, BOUND_S)
+        self.assertLess(elapsed_s, CHANGE_BOUND_S)
         digests = {
             self.fleet.read_status(vm_id)['digest'] for vm_id in DAEMONS
         }
@@ -60,23 +60,25 @@
         self.assertEqual(before, self.read_revisions())
         self.assertEqual(200, self.client.look_up().status)
         for vm_id in (entry, fleets.TARGETS[0].vm_id):
-            support.wait_until(lambda vm_id=vm_id: self.read_reports(vm_id))
+            support.wait_until(
+                lambda vm_id=vm_id: self.read_fault_count(vm_id)
+            )
         self.publish_and_wait(fleets.BASE_TEXT + NEW_TEAM)
 
-    def test_daemon_that_boots_in_an_outage_learns_from_its_peers(self):
+    def test_daemon_started_in_an_outage_gets_its_peers_configuration(self):
         self.publish_and_wait(fleets.BASE_TEXT + NEW_TEAM)
         before = self.read_revisions()
         self.fleet.set_platform_down(True)
         target = fleets.TARGETS[0].vm_id
         self.fleet.processes_by_name[target].kill()
         self.fleet.start_target(target)
-        # A peer's probe is how the booting process is found: the list of
-        # VMs is down as well.
+        # The list of VMs is unavailable too, so the starting process is only
+        # found through a probe from a peer.
         status = self.fleet.wait_for_status(target, confirmed=True)
         self.assertEqual(before, {status['revision']})
         self.fleet.set_platform_down(False)
 
-    def test_stale_platform_does_not_turn_the_fleet_back(self):
+    def test_stale_platform_does_not_revert_the_configuration(self):
         self.publish_and_wait(fleets.BASE_TEXT + NEW_TEAM)
         before = self.read_revisions()
         self.fleet.set_stale(True)
--- a/tests/test_crash_requests.py
+++ b/tests/test_crash_requests.py
@@ -1,4 +1,4 @@
-"""Prove that a request which crashes engines is stopped, and no other."""
+"""Test that only a request that crashes engines is quarantined."""
 
 import json
 import threading
@@ -11,10 +11,10 @@
 from tests import support
 
 TOKENS = 20
-SENDS = 12
-INNOCENT_CALLERS = 6
-INNOCENT_CALLS = 4
-INNOCENT_SENDS = 20
+MAX_CRASHING_SENDS = 12
+HEALTHY_CALLERS = 6
+HEALTHY_REQUESTS_PER_CALLER = 4
+MAX_SENDS_PER_HEALTHY_REQUEST = 20
 CRASH_TEXT = 'crash this engine'
 TARGETS = tuple(
     fleets.TargetPlace(
@@ -27,7 +27,7 @@
 
 
 class Supervisor:
-    """Restart engines that have died, and count how often they did."""
+    """Restart crashed engines and count the crashes."""
 
     def __init__(self, *, fleet):
         self._fleet = fleet
@@ -61,12 +61,12 @@
 
 
 class CrashingRequestTests(support.FleetTestCase):
-    """Test a request that crashes each engine which runs it."""
+    """Test a request that crashes every engine that runs it."""
 
     targets = TARGETS
 
     def send(self, prompt, number):
-        """Send a prompt to the entry that is next in turn."""
+        """Send a prompt to an entry chosen in rotation by ``number``."""
         addresses = self.fleet.entry_addresses
         return self.client.complete(
             prompt,
@@ -74,38 +74,40 @@
             address=addresses[number % len(addresses)],
         )
 
-    def send_until_refused_for_good(self, prompt):
-        """Send again, as callers do, until coming back does not help."""
-        for number in range(SENDS):
+    def send_until_quarantined(self, prompt):
+        """Retry until the request is quarantined; return the last answer."""
+        for number in range(MAX_CRASHING_SENDS):
             answer = self.send(prompt, number)
             if is_quarantined(answer):
                 break
-            wait_as_told(answer)
+            wait_for_retry_after(answer)
         return answer
 
-    def get_whole_answers(self, caller):
-        """Get the answers to all requests of one caller, in turn."""
-        for number in range(INNOCENT_CALLS):
-            self.get_whole_answer(f'innocent {caller} {number}', caller)
+    def check_all_answers(self, caller):
+        """Send all requests of one caller and check their answers."""
+        for number in range(HEALTHY_REQUESTS_PER_CALLER):
+            self.check_answer(f'innocent {caller} {number}', caller)
 
-    def get_whole_answer(self, prompt, caller):
-        """Send a request again until it has its own whole answer."""
-        for number in range(INNOCENT_SENDS):
+    def check_answer(self, prompt, caller):
+        """Retry a request until its complete and correct answer arrives."""
+        for number in range(MAX_SENDS_PER_HEALTHY_REQUEST):
             answer = self.send(prompt, caller + number)
             self.assertFalse(is_quarantined(answer), answer.body)
             if answer.status == 200 and clients.read_tokens(answer)[1]:
-                self.assertEqual(expect_words(prompt), read_words(answer))
+                self.assertEqual(
+                    compute_expected_words(prompt), read_words(answer)
+                )
                 return
-            wait_as_told(answer)
-        self.fail(f'{prompt}: no whole answer, last: {answer}')
+            wait_for_retry_after(answer)
+        self.fail(f'{prompt}: no complete answer; the last answer: {answer}')
 
-    def test_it_is_stopped_in_the_whole_fleet_and_others_are_answered(self):
-        innocents = [
-            support.Background(self.get_whole_answers, caller)
-            for caller in range(INNOCENT_CALLERS)
+    def test_all_entries_refuse_it_and_other_requests_are_answered(self):
+        healthy_calls = [
+            support.Background(self.check_all_answers, caller)
+            for caller in range(HEALTHY_CALLERS)
         ]
         with Supervisor(fleet=self.fleet) as supervisor:
-            answer = self.send_until_refused_for_good(CRASH_TEXT)
+            answer = self.send_until_quarantined(CRASH_TEXT)
             self.assertTrue(
                 is_quarantined(answer),
                 f'{supervisor.crashes} crashes, then {answer}',
@@ -113,8 +115,8 @@
             self.assertEqual('not-run', answer.outcome)
             self.assertNotIn('retry-after', answer.headers_by_name)
             self.wait_until_each_entry_refuses()
-            for innocent in innocents:
-                innocent.get()
+            for call in healthy_calls:
+                call.get()
             self.assertGreater(supervisor.crashes, 0)
             self.assertLessEqual(
                 supervisor.crashes,
@@ -122,7 +124,7 @@
             )
 
     def wait_until_each_entry_refuses(self):
-        """Send the request through each entry until it is refused."""
+        """Send the crashing request to each entry until it refuses it."""
         for number in range(len(self.fleet.entry_addresses)):
             support.wait_until(
                 lambda number=number: is_quarantined(
@@ -132,19 +134,19 @@
 
 
 def is_quarantined(answer):
-    """Tell whether an answer is the final refusal of such a request."""
+    """Return whether an answer refuses a quarantined request."""
     if answer.status == 200:
         return False
     return answer.document['type'].endswith(':quarantined')
 
 
-def wait_as_told(answer):
-    """Wait until the time that a refusal names."""
+def wait_for_retry_after(answer):
+    """Sleep for the seconds in the ``retry-after`` header, if any."""
     time.sleep(float(answer.headers_by_name.get('retry-after', 0)))
 
 
-def expect_words(prompt):
-    """Return the words of the right answer to a prompt."""
+def compute_expected_words(prompt):
+    """Return the words of the correct answer to a prompt."""
     return [engine.compute_token(prompt, index) for index in range(TOKENS)]
 
 
--- a/tests/test_data_centres.py
+++ b/tests/test_data_centres.py
@@ -1,4 +1,4 @@
-"""Prove that data centres and targets that leave get no new work."""
+"""Test that data centres and targets taken out get no new calls."""
 
 import threading
 
@@ -6,16 +6,16 @@
 from savoryyoke_fakes import fleets
 from tests import support
 
-BOUND_S = 5.0
-CHANGE_BOUND_S = 19.0
-OUT_TEXT = fleets.BASE_TEXT.replace(
+NO_NEW_CALLS_AFTER_S = 5.0
+CONFIGURATION_CHANGE_BOUND_S = 19.0
+DATA_CENTRE_OUT_TEXT = fleets.BASE_TEXT.replace(
     'dc-a: {region: north}', 'dc-a: {region: north, state: out}'
 )
-OUT_TARGETS = ('engine-a', 'app-a')
+TARGETS_TAKEN_OUT = ('engine-a', 'app-a')
 
 
-class Load:
-    """Send completions, lookups and payments side by side."""
+class MixedTraffic:
+    """Send completions, lookups and payments in parallel until stopped."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -52,7 +52,7 @@
         return client.pay(reference, key)
 
     def stop(self):
-        """Return the answers by kind, or raise what a call raised."""
+        """Stop sending; return the answers by kind or raise a call's error."""
         self._stopped.set()
         for thread in self._threads:
             thread.join(support.WAIT_S)
@@ -62,18 +62,18 @@
 
 
 class DataCentreTests(support.FleetTestCase):
-    """Test a data centre that is taken out and brought back."""
+    """Test a data centre that is taken out of service and brought back."""
 
-    def count_started(self, vm_id):
-        """Return how many calls a back end has got so far."""
+    def count_started_calls(self, vm_id):
+        """Return how many calls the back end of a target has started."""
         address = self.fleet.addresses_by_name[f'{vm_id}.backend']
         if vm_id.startswith('app'):
             answer = clients.call('GET', address, '/control/started')
             return answer.document['started']
         return clients.call('GET', address, '/load').document['started']
 
-    def wait_until_in_force(self, revision):
-        """Wait until each entry has a base revision in force."""
+    def wait_until_applied(self, revision):
+        """Wait until each entry has applied a revision of the base."""
         support.wait_until(
             lambda: all(
                 self.fleet.read_status(place.vm_id)['revision']
@@ -83,7 +83,7 @@
         )
 
     def assert_all_answered(self, answers_by_kind):
-        """Check that no call was lost and no payment ran twice."""
+        """Check that each call succeeded and each payment ran once."""
         for kind, answers in answers_by_kind.items():
             self.assertGreater(len(answers), 3, kind)
             self.assertEqual(
@@ -94,42 +94,50 @@
             self.assertEqual(1, counts[f'load-{number}'])
 
     def test_data_centre_out_and_in_twice_under_load(self):
-        load = Load(self.fleet)
+        traffic = MixedTraffic(self.fleet)
         for _ in range(2):
             started_s = support.time.monotonic()
-            self.wait_until_in_force(self.fleet.publish('base', OUT_TEXT))
+            self.wait_until_applied(
+                self.fleet.publish('base', DATA_CENTRE_OUT_TEXT)
+            )
             elapsed_s = support.time.monotonic() - started_s
-            self.assertLess(elapsed_s, CHANGE_BOUND_S)
-            support.time.sleep(BOUND_S)
-            before = [self.count_started(vm_id) for vm_id in OUT_TARGETS]
+            self.assertLess(elapsed_s, CONFIGURATION_CHANGE_BOUND_S)
+            support.time.sleep(NO_NEW_CALLS_AFTER_S)
+            before = [
+                self.count_started_calls(vm_id) for vm_id in TARGETS_TAKEN_OUT
+            ]
             support.time.sleep(1.0)
-            after = [self.count_started(vm_id) for vm_id in OUT_TARGETS]
+            after = [
+                self.count_started_calls(vm_id) for vm_id in TARGETS_TAKEN_OUT
+            ]
             self.assertEqual(before, after)
             revision = self.fleet.publish('base', fleets.BASE_TEXT)
-            self.wait_until_in_force(revision)
+            self.wait_until_applied(revision)
             support.wait_until(
-                lambda: self.count_started('engine-a') > after[0]
+                lambda: self.count_started_calls('engine-a') > after[0]
             )
-        self.assert_all_answered(load.stop())
+        self.assert_all_answered(traffic.stop())
 
 
 class LeavingTargetTests(support.FleetTestCase):
-    """Test a target that only the platform's list calls leaving."""
+    """Test a target that only the platform's VM list marks as leaving."""
 
     def test_listed_target_gets_no_new_work_after_the_bound(self):
-        load = Load(self.fleet)
-        support.wait_until(lambda: len(load.answers_by_kind['complete']) > 5)
+        traffic = MixedTraffic(self.fleet)
+        support.wait_until(
+            lambda: len(traffic.answers_by_kind['complete']) > 5
+        )
         self.fleet.mark_leaving('engine-a')
-        support.time.sleep(BOUND_S)
+        support.time.sleep(NO_NEW_CALLS_AFTER_S)
         address = self.fleet.addresses_by_name['engine-a.backend']
         before = clients.call('GET', address, '/load').document['started']
-        done = len(load.answers_by_kind['complete'])
+        answered = len(traffic.answers_by_kind['complete'])
         support.wait_until(
-            lambda: len(load.answers_by_kind['complete']) > done + 10
+            lambda: len(traffic.answers_by_kind['complete']) > answered + 10
         )
         after = clients.call('GET', address, '/load').document['started']
         self.assertEqual(before, after)
-        answers = load.stop()
+        answers = traffic.stop()
         self.assertEqual(
             {200}, {answer.status for answer in answers['complete']}
         )
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Test that the examples of the pages do what the pages say."""
+"""Test that the examples in the documentation print what it shows."""
 
 import contextlib
 import io
@@ -8,14 +8,14 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PAGE = ROOT / 'docs' / 'howto' / 'embed-the-library.md'
-BLOCK = re.compile(r'```(\w+)\n(.*?)```', re.DOTALL)
+CODE_BLOCK = re.compile(r'```(\w+)\n(.*?)```', re.DOTALL)
 
 
 class EmbeddingExampleTests(unittest.TestCase):
-    """Test the example of the embedding guide."""
+    """Test the example in the guide to embedding the library."""
 
     def test_example_prints_what_the_page_shows(self):
-        blocks = dict(BLOCK.findall(PAGE.read_text()))
+        blocks = dict(CODE_BLOCK.findall(PAGE.read_text()))
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed):
             exec(compile(blocks['python'], str(PAGE), 'exec'), {})
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Prove that teams keep to their limits and leave room to each other."""
+"""Test that team limits hold and that a busy team hardly delays others."""
 
 import itertools
 import statistics
@@ -10,11 +10,11 @@
 from tests import support
 
 LIMIT_PER_S = 5
-HOMES = 2
+ADMITTING_ENTRIES = 2
 REQUESTS = 100
 OTHER_REQUESTS = 30
 SENDERS = 3
-# The daemons lend nothing in their first seconds.
+# Entries lend no part of a limit in the first seconds after their start.
 LENDING_STARTS_S = 6.0
 BORROWING_S = 6.0
 PAUSE_S = 0.05
@@ -25,15 +25,15 @@
 TOKEN_INTERVAL_S = 0.05
 SMALL_CALLS = 10
 LARGE_CALLERS = 24
-# A small team's call waits for the running calls and, at most, one call of
-# the other team per call of its own.
-FACTOR = 3.0
-LIMITED = 'letters'
-FREE = 'members'
+# A call of the small team waits for the calls that are running and for at
+# most one queued call of the large team.
+MAX_SLOWDOWN_FACTOR = 3.0
+LIMITED_TEAM = 'letters'
+UNLIMITED_TEAM = 'members'
 
 
 class TeamLimitTests(support.FleetTestCase):
-    """Test a team with a limit beside one without."""
+    """Test a team with a request limit beside a team without one."""
 
     base_text = fleets.BASE_TEXT.replace(
         'letters: {weight: 1.0}',
@@ -41,53 +41,53 @@
     )
 
     def setUp(self):
-        """Ask the directory for the entries of the limited team."""
+        """Read from the directory which entries admit the limited team."""
         super().setUp()
         self.limited = clients.Client(
-            team=LIMITED, entry_addresses=self.fleet.entry_addresses
+            team=LIMITED_TEAM, entry_addresses=self.fleet.entry_addresses
         )
         self.limited.ask_directory()
-        self.homes = [
+        self.admitting_addresses = [
             row['address'] for row in self.limited.directory['entries']
         ]
 
     def assert_limited(self, answer):
-        """Check a refusal by the limit."""
+        """Check that an answer is a refusal by the team limit."""
         self.assertEqual(429, answer.status)
         self.assertEqual('not-run', answer.outcome)
         self.assertGreaterEqual(int(answer.headers_by_name['retry-after']), 1)
 
     def send_many(self, client, count):
-        """Look up through all entries in turn; return the answers."""
+        """Send lookups to all entries in rotation; return the answers."""
         addresses = itertools.cycle(self.fleet.entry_addresses)
         return [client.look_up(address=next(addresses)) for _ in range(count)]
 
     def use_up_limit(self):
-        """Send through each home until it refuses."""
-        for address in self.homes:
+        """Send lookups to each admitting entry until it refuses one."""
+        for address in self.admitting_addresses:
             support.wait_until(
                 lambda address=address: (
                     self.limited.look_up(address=address).status == 429
                 )
             )
 
-    def wait_for_room(self, call):
-        """Repeat a call until the limit lets it pass; return its answer."""
+    def retry_until_admitted(self, call):
+        """Repeat a call until the limit admits it; return its answer."""
         answers = []
 
-        def passes():
+        def is_admitted():
             answers.append(call())
             return answers[-1].status != 429
 
-        support.wait_until(passes)
+        support.wait_until(is_admitted)
         return answers[-1]
 
     def find_refused_key(self):
-        """Return the key of a payment that the limit has refused.
+        """Return the key and reference of a payment that the limit refused.
 
-        The limit earns room while a call is on its way, so a payment right
-        after the limit was used up may pass. It then uses another reference
-        than the one whose runs are counted.
+        The limit refills over time, so a payment sent right after the limit
+        was used up may still be admitted. Each attempt therefore has its own
+        reference, and the runs of the refused one can be counted.
         """
         keys = []
 
@@ -105,40 +105,44 @@
 
     def test_limit_holds_over_all_entries_and_spares_other_teams(self):
         started_s = time.monotonic()
-        limited = [
+        limited_calls = [
             support.Background(
                 self.send_many, self.limited, REQUESTS // SENDERS
             )
             for _ in range(SENDERS)
         ]
-        others = support.Background(
+        unlimited_call = support.Background(
             self.send_many, self.client, OTHER_REQUESTS
         )
-        answers = [answer for call in limited for answer in call.get()]
-        passed_s = time.monotonic() - started_s
+        answers = [answer for call in limited_calls for answer in call.get()]
+        elapsed_s = time.monotonic() - started_s
         refused = [answer for answer in answers if answer.status == 429]
         for answer in refused:
             self.assert_limited(answer)
         admitted = len(answers) - len(refused)
         self.assertGreater(admitted, 0)
-        self.assertLessEqual(admitted, LIMIT_PER_S * (passed_s + 1) + HOMES)
-        for answer in others.get():
+        self.assertLessEqual(
+            admitted, LIMIT_PER_S * (elapsed_s + 1) + ADMITTING_ENTRIES
+        )
+        for answer in unlimited_call.get():
             self.assertEqual(200, answer.status)
 
-    def test_directory_names_the_entries_that_admit_the_team(self):
-        self.assertEqual(HOMES, len(self.homes))
+    def test_directory_lists_only_entries_that_admit_the_team(self):
+        self.assertEqual(ADMITTING_ENTRIES, len(self.admitting_addresses))
         self.assertEqual(
             len(self.fleet.entry_addresses),
             len(self.client.directory['entries']),
         )
-        (other,) = set(self.fleet.entry_addresses) - set(self.homes)
-        answer = self.limited.look_up(address=other)
+        (other_address,) = set(self.fleet.entry_addresses) - set(
+            self.admitting_addresses
+        )
+        answer = self.limited.look_up(address=other_address)
         self.assert_limited(answer)
-        for address in self.homes:
+        for address in self.admitting_addresses:
             self.assertIn(address, answer.document['detail'])
 
-    def test_refusal_of_a_payment_is_true_for_its_key(self):
-        # A refused key stays closed, so each try needs its own.
+    def test_payment_refused_by_the_limit_never_runs(self):
+        # A refused key never runs later, so each attempt has a new key.
         keys = []
 
         def pay():
@@ -146,33 +150,37 @@
             keys.append(self.limited.build_key(fleets.ACCOUNT, suffix))
             return self.limited.pay('paid', keys[-1])
 
-        answer = self.wait_for_room(pay)
-        paid = keys[-1]
+        answer = self.retry_until_admitted(pay)
+        paid_key = keys[-1]
         self.assertEqual(200, answer.status)
         self.use_up_limit()
-        self.assertEqual(answer.body, self.limited.pay('paid', paid).body)
+        self.assertEqual(answer.body, self.limited.pay('paid', paid_key).body)
         self.assertEqual(1, self.count_runs('paid'))
-        fresh, reference = self.find_refused_key()
-        answer = self.wait_for_room(lambda: self.limited.pay(reference, fresh))
+        refused_key, reference = self.find_refused_key()
+        answer = self.retry_until_admitted(
+            lambda: self.limited.pay(reference, refused_key)
+        )
         self.assertEqual('not-run', answer.outcome)
         self.assertEqual(0, self.count_runs(reference))
 
-    def test_entry_with_all_the_demand_borrows_from_the_other(self):
+    def test_entry_that_gets_all_calls_borrows_from_the_other_entry(self):
         time.sleep(LENDING_STARTS_S)
         started_s = time.monotonic()
         admitted = 0
         while time.monotonic() - started_s < BORROWING_S:
-            answer = self.limited.look_up(address=self.homes[0])
+            answer = self.limited.look_up(address=self.admitting_addresses[0])
             admitted += answer.status != 429
             time.sleep(PAUSE_S)
-        passed_s = time.monotonic() - started_s
-        part_per_s = LIMIT_PER_S / HOMES
-        self.assertGreater(admitted, part_per_s * (passed_s + 1) + 1)
-        self.assertLessEqual(admitted, LIMIT_PER_S * (passed_s + 1) + HOMES)
+        elapsed_s = time.monotonic() - started_s
+        entry_share_per_s = LIMIT_PER_S / ADMITTING_ENTRIES
+        self.assertGreater(admitted, entry_share_per_s * (elapsed_s + 1) + 1)
+        self.assertLessEqual(
+            admitted, LIMIT_PER_S * (elapsed_s + 1) + ADMITTING_ENTRIES
+        )
 
 
 class BurstTests(support.FleetTestCase):
-    """Test two teams at one engine that is full."""
+    """Test two teams that share one fully loaded engine."""
 
     targets = (ENGINE,)
     base_text = fleets.BASE_TEXT.replace(
@@ -180,12 +188,12 @@
     )
 
     def is_warm(self):
-        """Send a call; return whether the target takes its engine for warm."""
+        """Send a call; return whether the target reports a warm engine."""
         self.client.complete('warm up', max_tokens=TOKENS)
         return not self.fleet.read_status(ENGINE.vm_id)['cold']
 
-    def measure(self, client):
-        """Return the times of sequential calls; each must be answered."""
+    def measure_latencies(self, client):
+        """Return the durations in seconds of sequential calls."""
         times_s = []
         for number in range(SMALL_CALLS):
             started_s = time.monotonic()
@@ -194,16 +202,16 @@
             self.assertEqual(200, answer.status, answer.body)
         return times_s
 
-    def send_until(self, stopped, address, counts):
-        """Send as a large team does, coming back as told."""
-        large = clients.Client(team='letters', entry_addresses=[address])
+    def send_large_calls(self, stopped, address, statuses):
+        """Send calls of the large team until stopped; obey ``retry-after``."""
+        client = clients.Client(team='letters', entry_addresses=[address])
         number = 0
         while not stopped.is_set():
             number += 1
-            answer = large.complete(
+            answer = client.complete(
                 f'large {number}', max_tokens=TOKENS, address=address
             )
-            counts.append(answer.status)
+            statuses.append(answer.status)
             stopped.wait(float(answer.headers_by_name.get('retry-after', 0)))
 
     def test_burst_of_a_large_team_hardly_delays_a_small_one(self):
@@ -211,24 +219,26 @@
         self.fleet.set_backend_faults(
             ENGINE.vm_id, token_interval_s=TOKEN_INTERVAL_S
         )
-        calm_s = statistics.median(self.measure(self.client))
+        baseline_s = statistics.median(self.measure_latencies(self.client))
         stopped = threading.Event()
-        counts = []
+        statuses = []
         addresses = self.fleet.entry_addresses
-        burst = [
+        burst_calls = [
             support.Background(
-                self.send_until,
+                self.send_large_calls,
                 stopped,
                 addresses[number % len(addresses)],
-                counts,
+                statuses,
             )
             for number in range(LARGE_CALLERS)
         ]
-        support.wait_until(lambda: len(counts) >= LARGE_CALLERS)
+        support.wait_until(lambda: len(statuses) >= LARGE_CALLERS)
         try:
-            times_s = self.measure(self.client)
+            times_s = self.measure_latencies(self.client)
         finally:
             stopped.set()
-            for call in burst:
+            for call in burst_calls:
                 call.get()
-        self.assertLessEqual(statistics.median(times_s), FACTOR * calm_s)
+        self.assertLessEqual(
+            statistics.median(times_s), MAX_SLOWDOWN_FACTOR * baseline_s
+        )
--- a/tests/test_payments.py
+++ b/tests/test_payments.py
@@ -1,4 +1,7 @@
-"""Prove at-most-once runs and true answers with real processes."""
+"""Test with real processes that a payment runs at most once.
+
+An answer must also never contradict whether the payment ran.
+"""
 
 import socket
 
@@ -6,18 +9,18 @@
 from savoryyoke_fakes import fleets
 from tests import support
 
-# A refusal covers what arrives within a second after it; then the entries'
-# stamps are newer than it.
-STAMPS_PASS_S = 2.5
+# A refusal covers payments that arrive up to a second after it. After this
+# time the entries' timestamps are newer than the refusal.
+REFUSAL_EXPIRY_S = 2.5
 
 
-def read_target(key):
-    """Return the target that a bound key names."""
+def parse_target(key):
+    """Return the VM id of the target to which a key is bound."""
     return key.split('~')[1]
 
 
 class RepeatedPaymentTests(support.FleetTestCase):
-    """Test payments that callers send again."""
+    """Test payments that are sent more than once."""
 
     def test_same_key_at_the_same_moment_at_all_entries(self):
         key = self.client.build_key(fleets.ACCOUNT, 'same-moment')
@@ -40,7 +43,7 @@
         self.assertEqual('not-run', answer.outcome)
         self.assertEqual(0, self.count_runs('other-body-2'))
 
-    def test_refusal_without_the_ledgers_word_never_says_not_run(self):
+    def test_refusal_made_without_the_ledger_never_says_not_run(self):
         key = self.client.build_key(fleets.ACCOUNT, 'ran-first')
         self.assertEqual(200, self.client.pay('ran-first', key).status)
         team = {'savoryyoke-team': 'members', 'idempotency-key': key}
@@ -69,7 +72,7 @@
         self.assertEqual(200, self.client.pay('plain', bound).status)
         self.assertEqual(1, self.count_runs('plain'))
 
-    def test_all_entries_replaced_between_first_try_and_repeat(self):
+    def test_repeat_after_all_entries_were_replaced(self):
         key = self.client.build_key(fleets.ACCOUNT, 'replaced')
         first = self.client.pay('replaced', key)
         for place in fleets.ENTRIES:
@@ -83,13 +86,13 @@
 
 
 class FrozenEntryTests(support.FleetTestCase):
-    """Test an entry that freezes and wakes up late."""
+    """Test an entry whose process is frozen and continues later."""
 
     def test_entry_frozen_after_sending_thaws_after_the_repeat(self):
         entry = fleets.ENTRIES[0].vm_id
         addresses = self.fleet.entry_addresses
         key = self.client.build_key(fleets.ACCOUNT, 'frozen')
-        self.fleet.set_backend_faults(read_target(key), payment_s=0.5)
+        self.fleet.set_backend_faults(parse_target(key), payment_s=0.5)
         first = support.Background(
             self.client.pay, 'frozen', key, address=addresses[0]
         )
@@ -100,43 +103,43 @@
         self.assertEqual(200, second.status)
         self.assertEqual(second.body, first.get().body)
         self.assertEqual(1, self.count_runs('frozen'))
-        self.fleet.set_backend_faults(read_target(key), payment_s=0.005)
+        self.fleet.set_backend_faults(parse_target(key), payment_s=0.005)
 
-    def _freeze_with_waiting_payment(self, reference):
-        """Return a key and its payment that lies unread in an entry."""
+    def _freeze_with_pending_payment(self, reference):
+        """Freeze an entry and send it a payment; return key and call."""
         entry = self.fleet.processes_by_name[fleets.ENTRIES[0].vm_id]
         key = self.client.build_key(fleets.ACCOUNT, reference)
         entry.freeze()
-        waiting = support.Background(
+        pending_call = support.Background(
             self.client.pay,
             reference,
             key,
             address=self.fleet.entry_addresses[0],
         )
         support.time.sleep(1.0)
-        return key, waiting
+        return key, pending_call
 
     def test_payment_refused_elsewhere_does_not_run_after_the_thaw(self):
         addresses = self.fleet.entry_addresses
         entry = self.fleet.processes_by_name[fleets.ENTRIES[0].vm_id]
-        key, waiting = self._freeze_with_waiting_payment('late')
-        target = read_target(key)
+        key, pending_call = self._freeze_with_pending_payment('late')
+        target = parse_target(key)
         self.fleet.processes_by_name[f'{target}.backend'].kill()
         refused = self.client.pay('late', key, address=addresses[1])
         self.assertEqual('not-run', refused.outcome)
         self.fleet.start_backend(target)
-        # The thawed entry finds stamps that are newer than the refusal.
-        support.time.sleep(STAMPS_PASS_S)
+        # After this wait the entries' timestamps are newer than the refusal.
+        support.time.sleep(REFUSAL_EXPIRY_S)
         entry.thaw()
-        answer = waiting.get()
+        answer = pending_call.get()
         self.assertEqual((503, 'not-run'), (answer.status, answer.outcome))
         self.assertEqual(0, self.count_runs('late'))
 
     def test_first_payment_runs_once_after_the_thaw(self):
         entry = self.fleet.processes_by_name[fleets.ENTRIES[0].vm_id]
-        key, waiting = self._freeze_with_waiting_payment('patient')
+        key, pending_call = self._freeze_with_pending_payment('patient')
         entry.thaw()
-        self.assertEqual(200, waiting.get().status)
+        self.assertEqual(200, pending_call.get().status)
         again = self.client.pay(
             'patient', key, address=self.fleet.entry_addresses[1]
         )
@@ -158,33 +161,34 @@
             'content-type: application/json\r\n'
             f'content-length: {len(body)}\r\n\r\n'
         )
-        with socket.create_connection((host, int(port))) as slow:
-            slow.settimeout(support.WAIT_S)
-            slow.sendall(head.encode())
-            backend = f'{read_target(key)}.backend'
+        with socket.create_connection((host, int(port))) as connection:
+            connection.settimeout(support.WAIT_S)
+            connection.sendall(head.encode())
+            backend = f'{parse_target(key)}.backend'
             self.fleet.processes_by_name[backend].kill()
             refused = self.client.pay('slow-body', key, address=addresses[1])
             self.assertEqual('not-run', refused.outcome)
-            self.fleet.start_backend(read_target(key))
-            support.time.sleep(STAMPS_PASS_S)
-            slow.sendall(body)
-            answer = slow.makefile('rb').read()
+            self.fleet.start_backend(parse_target(key))
+            support.time.sleep(REFUSAL_EXPIRY_S)
+            connection.sendall(body)
+            answer = connection.makefile('rb').read()
         self.assertIn(b'"outcome": "not-run"', answer)
         self.assertEqual(0, self.count_runs('slow-body'))
 
 
 class DeadTargetTests(support.FleetTestCase):
-    """Test target processes and applications that die."""
+    """Test target and application processes that are killed."""
 
     def _start_hanging_payment(self, reference):
+        """Return key, target and call of a payment that never finishes."""
         key = self.client.build_key(fleets.ACCOUNT, reference)
-        target = read_target(key)
+        target = parse_target(key)
         self.fleet.set_backend_faults(target, hang=True)
         call = support.Background(self.client.pay, reference, key)
         support.wait_until(lambda: self.count_runs(reference) == 1)
         return key, target, call
 
-    def test_target_process_dies_between_hand_over_and_answer(self):
+    def test_target_dies_after_the_application_got_the_payment(self):
         key, target, call = self._start_hanging_payment('died')
         self.fleet.processes_by_name[target].kill()
         answer = call.get()
@@ -207,10 +211,10 @@
         # The counter of the replaced application starts from zero.
         self.assertEqual(0, self.count_runs('lost'))
 
-    def test_application_that_is_down_did_not_run_the_payment(self):
+    def test_payment_is_not_run_while_its_application_is_down(self):
         self.client.ask_directory()
         key = self.client.build_key(fleets.ACCOUNT, 'down')
-        target = read_target(key)
+        target = parse_target(key)
         backend = self.fleet.processes_by_name[f'{target}.backend']
         backend.kill()
         answer = self.client.pay('down', key)
@@ -223,11 +227,11 @@
 
 
 class CallerTests(support.FleetTestCase):
-    """Test callers that leave before the answer."""
+    """Test callers that disconnect before the answer."""
 
-    def test_payment_whose_caller_left_is_answered_from_the_record(self):
+    def test_repeat_after_a_caller_timeout_is_answered_from_the_record(self):
         key = self.client.build_key(fleets.ACCOUNT, 'left')
-        target = read_target(key)
+        target = parse_target(key)
         self.fleet.set_backend_faults(target, payment_s=0.5)
         with self.assertRaises(clients.httpcore.ReadTimeout):
             self.client.pay('left', key, timeout_s=0.2)
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Prove that planned stops cut no request and lose no record."""
+"""Test that planned stops interrupt no request and lose no record."""
 
 import threading
 
@@ -28,7 +28,7 @@
             self._error = error
 
     def stop(self):
-        """Return all answers, or raise what a call raised."""
+        """Stop sending; return all answers or raise a call's error."""
         self._stopped.set()
         self._thread.join(support.WAIT_S)
         if self._error is not None:
@@ -40,33 +40,35 @@
     """Test the planned stop of a target."""
 
     def tearDown(self):
-        """Start the target again that a test has stopped."""
+        """Restart the targets that a test has stopped."""
         for place in fleets.TARGETS:
             if not self.fleet.processes_by_name[place.vm_id].running:
                 self.fleet.start_target(place.vm_id)
         self.fleet.wait_until_ready()
         super().tearDown()
 
-    def test_repeats_and_first_calls_go_to_the_heir(self):
-        ran = self.client.build_key(fleets.ACCOUNT, 'ran-before')
-        fresh = self.client.build_key(fleets.ACCOUNT, 'first-after')
-        target = ran.split('~')[1]
-        before = self.client.pay('ran-before', ran)
+    def test_repeats_and_new_calls_go_to_the_successor(self):
+        paid_key = self.client.build_key(fleets.ACCOUNT, 'ran-before')
+        unused_key = self.client.build_key(fleets.ACCOUNT, 'first-after')
+        target = paid_key.split('~')[1]
+        before = self.client.pay('ran-before', paid_key)
         process = self.fleet.processes_by_name[target]
         process.terminate()
         self.assert_stopped(process)
-        after = self.client.pay('ran-before', ran)
+        after = self.client.pay('ran-before', paid_key)
         self.assertEqual((200, before.body), (after.status, after.body))
         self.assertEqual(1, self.count_runs('ran-before'))
-        first = self.client.pay('first-after', fresh)
+        first = self.client.pay('first-after', unused_key)
         self.assertEqual(200, first.status)
         again = self.client.pay(
-            'first-after', fresh, address=self.fleet.entry_addresses[1]
+            'first-after', unused_key, address=self.fleet.entry_addresses[1]
         )
         self.assertEqual(first.body, again.body)
         self.assertEqual(1, self.count_runs('first-after'))
 
-    def test_payment_in_progress_ends_and_its_record_reaches_the_heir(self):
+    def test_payment_in_progress_ends_and_its_record_reaches_the_successor(
+        self,
+    ):
         key = self.client.build_key(fleets.ACCOUNT, 'in-progress')
         target = key.split('~')[1]
         self.fleet.set_backend_faults(target, payment_s=1.0)
@@ -103,7 +105,7 @@
         for number in range(len(answers)):
             self.assertEqual(1, counts[f'stop-{number}'])
 
-    def test_streams_under_way_end_whole(self):
+    def test_streams_in_progress_complete(self):
         for vm_id in ('engine-a', 'engine-b', 'engine-c'):
             self.fleet.set_backend_faults(vm_id, token_interval_s=0.02)
         call = support.Background(
@@ -135,7 +137,7 @@
 class EntryStopTests(support.FleetTestCase):
     """Test the planned stop of an entry."""
 
-    def test_caller_with_an_old_answer_is_served_until_it_expires(self):
+    def test_caller_with_an_old_directory_is_served_until_it_expires(self):
         lifetime_s = self.client.directory['lifetime_s']
         address = self.client.address
         (vm_id,) = [
@@ -143,7 +145,7 @@
             for place in fleets.ENTRIES
             if self.fleet.addresses_by_name[place.vm_id] == address
         ]
-        slow = support.Background(
+        streaming_call = support.Background(
             self.client.complete, 'stop', max_tokens=TOKENS
         )
         process = self.fleet.processes_by_name[vm_id]
@@ -153,10 +155,10 @@
         answer = self.client.look_up(address=address)
         if support.time.monotonic() - started_s < lifetime_s:
             self.assertEqual(200, answer.status)
-        fresh = clients.call('GET', address, '/v1/directory').document
-        named = [entry['address'] for entry in fresh['entries']]
-        self.assertNotIn(address, named)
-        self.assertTrue(named)
-        indexes, ended = clients.read_tokens(slow.get())
+        directory = clients.call('GET', address, '/v1/directory').document
+        listed_addresses = [entry['address'] for entry in directory['entries']]
+        self.assertNotIn(address, listed_addresses)
+        self.assertTrue(listed_addresses)
+        indexes, ended = clients.read_tokens(streaming_call.get())
         self.assertEqual((list(range(TOKENS)), True), (indexes, ended))
         self.assert_stopped(process)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Test what the daemons ask of the platform."""
+"""Test the requests that daemons send to the platform."""
 
 import pathlib
 import tempfile
@@ -10,7 +10,7 @@
 from savoryyoke_fakes import clients
 from savoryyoke_fakes import processes
 
-ROW = {
+VM_ROW = {
     'vm_id': 'entry-a',
     'role': 'entry',
     'data_centre': 'dc-a',
@@ -20,10 +20,10 @@
 
 
 class VmListTests(unittest.TestCase):
-    """Test reads of the list of VMs."""
+    """Test reading the platform's list of VMs."""
 
     def setUp(self):
-        """Start the platform stand-in with a list."""
+        """Start the fake platform and publish a list of one VM."""
         super().setUp()
         directory = self.enterContext(tempfile.TemporaryDirectory())
         process = processes.Process(
@@ -34,10 +34,12 @@
         process.start()
         self.addCleanup(process.kill)
         self.address = process.wait_for_event('ready')['address']
-        clients.call('POST', self.address, '/control/vms', body={'vms': [ROW]})
+        clients.call(
+            'POST', self.address, '/control/vms', body={'vms': [VM_ROW]}
+        )
 
     def read(self, **options):
-        """Read the list once."""
+        """Read the list of VMs once."""
 
         async def main():
             reader = platform.PlatformReader(url=f'http://{self.address}')
@@ -46,9 +48,9 @@
         return anyio.run(main)
 
     def test_unchanged_list_is_not_sent_again(self):
-        first = self.read()
-        self.assertEqual('entry-a', first.vms[0].vm_id)
-        self.assertIsNone(self.read(unless_sequence=first.sequence))
+        first_read = self.read()
+        self.assertEqual('entry-a', first_read.vms[0].vm_id)
+        self.assertIsNone(self.read(unless_sequence=first_read.sequence))
         clients.call('POST', self.address, '/control/vms', body={'vms': []})
-        changed = self.read(unless_sequence=first.sequence)
-        self.assertEqual((), changed.vms)
+        changed_list = self.read(unless_sequence=first_read.sequence)
+        self.assertEqual((), changed_list.vms)
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""Test that the reference pages say what the code does."""
+"""Test that the generated reference pages match the code."""
 
 import pathlib
 import shutil
@@ -18,7 +18,7 @@
 
 
 def generate(*arguments):
-    """Run the generator and return the finished process."""
+    """Run the page generator; return the completed process."""
     return subprocess.run(
         [sys.executable, GENERATOR, *arguments],
         capture_output=True,
@@ -28,13 +28,13 @@
 
 
 class ReferenceTest(unittest.TestCase):
-    """Test the pages and the generator's comparison."""
+    """Test the pages and the ``--check`` mode of the generator."""
 
     def test_pages_match_the_code(self):
         process = generate('--check')
         self.assertEqual(process.returncode, 0, process.stdout)
 
-    def test_comparison_notices_a_difference(self):
+    def test_check_reports_a_difference(self):
         with tempfile.TemporaryDirectory() as directory:
             for name in ('settings.md', 'operators-file.md', 'problems.md'):
                 shutil.copy(PAGES / name, directory)
@@ -46,7 +46,7 @@
             process.stdout, 'settings.md: differs from the code\n'
         )
 
-    def test_every_identifier_has_a_meaning(self):
+    def test_every_fault_identifier_has_a_meaning(self):
         for module, meanings_by_id in (
             (faults, meanings.MEANINGS_BY_ID),
             (checks, settings_meanings.MEANINGS_BY_ID),
--- a/tests/test_wiring.py
+++ b/tests/test_wiring.py
@@ -1,4 +1,4 @@
-"""Test that each part of the library is run, or known not to be."""
+"""Test that library parts which no program imports are documented."""
 
 import pathlib
 import re
@@ -20,29 +20,41 @@
 _ROW = re.compile(r'^\| `(savoryyoke\.[\w.]+)` \|', re.MULTILINE)
 
 
-def find_parts_not_run():
-    """Return the packages and aggregates that no program imports."""
+def find_unused_parts():
+    """Return the packages and aggregates modules that no program imports."""
     graph = grimp.build_graph(*PACKAGES, cache_dir=None)
-    run = set()
+    imported = set()
     for program in PROGRAMS:
-        run |= graph.find_upstream_modules(program)
-    modules = {x for x in graph.modules if x.startswith('savoryyoke.')}
-    # An ``__init__`` holds no decisions, so its import runs nothing.
-    leaves = {x for x in modules if not graph.find_children(x)}
-    packages = {x.rpartition('.')[0] for x in leaves} - {'savoryyoke'}
+        imported |= graph.find_upstream_modules(program)
+    modules = {
+        module for module in graph.modules if module.startswith('savoryyoke.')
+    }
+    # An ``__init__`` module has no logic, so only leaf modules count.
+    leaves = {module for module in modules if not graph.find_children(module)}
+    packages = {module.rpartition('.')[0] for module in leaves} - {
+        'savoryyoke'
+    }
     not_run = {
         package
         for package in packages
-        if not any(x in run for x in leaves if x.rpartition('.')[0] == package)
+        if not any(
+            module in imported
+            for module in leaves
+            if module.rpartition('.')[0] == package
+        )
     }
-    aggregates = {x for x in leaves if x.endswith('.aggregates')}
-    return not_run | (aggregates - run)
+    aggregates = {
+        module for module in leaves if module.endswith('.aggregates')
+    }
+    return not_run | (aggregates - imported)
 
 
 class WiringTest(unittest.TestCase):
-    def test_what_the_programs_do_not_run_is_listed_with_a_reason(self):
-        listed = set(_ROW.findall(PAGE.read_text()))
-        self.assertEqual(listed, find_parts_not_run())
+    """Compare the unused parts with the table in the documentation."""
+
+    def test_unused_parts_are_listed_with_a_reason(self):
+        documented = set(_ROW.findall(PAGE.read_text()))
+        self.assertEqual(documented, find_unused_parts())
 
 
 if __name__ == '__main__':
