--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,7 +1,7 @@
-"""Show the whole path: callers, entries, targets and what stands behind.
+"""Demonstrate requests through callers, entries, targets and back ends.
 
 Everything runs on this machine: three entry daemons, five target processes,
-and stand-ins for the engines, the application and the platform.
+and fakes of the engines, the application and the platform.
 """
 
 import dataclasses
@@ -15,21 +15,21 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Row:
-    """Hold one line of the table of outcomes."""
+class StepOutcome:
+    """Hold the expected and the observed outcome of one step."""
 
     step: str
     expected: str
-    seen: str
+    observed: str
 
     @property
-    def held(self):
-        """Tell whether the outcome is the expected one."""
-        return self.expected == self.seen
+    def as_expected(self):
+        """Return whether the observed outcome is the expected one."""
+        return self.expected == self.observed
 
 
-def show(text):
-    """Print one line of the story."""
+def print_progress(text):
+    """Print one indented line about the progress."""
     print(f'  {text}', flush=True)
 
 
@@ -38,53 +38,55 @@
     answer = client.complete(PROMPT, max_tokens=TOKENS)
     indexes, ended = clients.read_tokens(answer)
     whole = ended and indexes == list(range(TOKENS))
-    return Row(
+    return StepOutcome(
         step='streamed completion',
         expected='200, all tokens once, explicit end',
-        seen=f'{answer.status}, '
+        observed=f'{answer.status}, '
         + ('all tokens once, explicit end' if whole else 'not whole'),
     )
 
 
 def run_lookup(client):
-    """Look a balance up."""
+    """Look up a balance."""
     answer = client.look_up()
-    return Row(step='lookup', expected='200', seen=str(answer.status))
+    return StepOutcome(
+        step='lookup', expected='200', observed=str(answer.status)
+    )
 
 
 def run_payment(fleet, client):
     """Pay, and send the same payment again through another entry."""
     key = client.build_key(fleets.ACCOUNT, 'invoice-17')
     first = client.pay('invoice-17', key)
-    other = fleet.entry_addresses[-1]
-    second = client.pay('invoice-17', key, address=other)
+    other_address = fleet.entry_addresses[-1]
+    second = client.pay('invoice-17', key, address=other_address)
     runs = fleet.count_runs().get('invoice-17', 0)
-    same = 'same answer' if first.body == second.body else 'other answer'
-    return Row(
+    answers = 'same answer' if first.body == second.body else 'other answer'
+    return StepOutcome(
         step='payment, sent twice through two entries',
         expected='200 and 200, same answer, 1 run',
-        seen=f'{first.status} and {second.status}, {same}, {runs} run',
+        observed=f'{first.status} and {second.status}, {answers}, {runs} run',
     )
 
 
 def run_failed_entry(fleet, client):
-    """Kill the entry in use and go on with the next one."""
-    victim = fleet.entry_addresses[0]
+    """Kill the entry in use and send a lookup through another entry."""
+    killed_address = fleet.entry_addresses[0]
     for name, address in fleet.addresses_by_name.items():
-        if address == victim:
+        if address == killed_address:
             fleet.processes_by_name[name].kill()
-            show(f'killed {name}')
+            print_progress(f'killed {name}')
     client.ask_directory()
     answer = client.look_up(address=fleet.entry_addresses[0])
-    return Row(
+    return StepOutcome(
         step='lookup after an entry was killed',
         expected='200',
-        seen=str(answer.status),
+        observed=str(answer.status),
     )
 
 
 def run_failed_target(fleet, client):
-    """Kill the engine while it streams; another one goes on."""
+    """Cut the streams of two engines half way; a third must continue."""
     for vm_id in ('engine-a', 'engine-b'):
         fleet.set_backend_faults(vm_id, truncate_after=TOKENS // 2)
     answer = client.complete(
@@ -94,33 +96,33 @@
     )
     indexes, ended = clients.read_tokens(answer)
     whole = ended and indexes == list(range(TOKENS))
-    return Row(
+    return StepOutcome(
         step='completion while engines crash half way',
         expected='200, whole',
-        seen=f'{answer.status}, ' + ('whole' if whole else 'not whole'),
+        observed=f'{answer.status}, ' + ('whole' if whole else 'not whole'),
     )
 
 
 def run_unbound_payment(fleet, client):
-    """Send a payment whose key names no target."""
+    """Send a payment whose key is not bound to a target."""
     answer = client.pay(
         'invoice-18', 'plain-key', address=fleet.entry_addresses[0]
     )
     runs = fleet.count_runs().get('invoice-18', 0)
-    return Row(
+    return StepOutcome(
         step='payment with a key that is not bound',
         expected='428 not-run, 0 runs',
-        seen=f'{answer.status} {answer.outcome}, {runs} runs',
+        observed=f'{answer.status} {answer.outcome}, {runs} runs',
     )
 
 
-def print_table(rows):
-    """Print what was expected and what was seen."""
-    width = max(len(row.step) for row in rows)
+def print_table(outcomes):
+    """Print for each step whether it went as expected and its outcome."""
+    width = max(len(outcome.step) for outcome in outcomes)
     print('\noutcomes:')
-    for row in rows:
-        mark = 'ok    ' if row.held else 'BROKEN'
-        print(f'  {mark} {row.step:{width}}  {row.seen}')
+    for outcome in outcomes:
+        mark = 'ok    ' if outcome.as_expected else 'BROKEN'
+        print(f'  {mark} {outcome.step:{width}}  {outcome.observed}')
     print(
         '\nwhere to look next: README.md to start the processes by hand,\n'
         'docs/DESIGN.md for how a request travels, make test for the proofs'
@@ -130,13 +132,15 @@
 def main():
     """Run the demonstration and return the exit status."""
     print('savoryyoke: one request of each kind through real processes\n')
-    with fleets.Fleet(report=show) as fleet:
+    with fleets.Fleet(report=print_progress) as fleet:
         client = clients.Client(
             team='members', entry_addresses=fleet.entry_addresses
         )
         directory = client.ask_directory()
-        show(f'the directory names {len(directory["entries"])} entries')
-        rows = [
+        print_progress(
+            f'the directory names {len(directory["entries"])} entries'
+        )
+        outcomes = [
             run_completion(client),
             run_lookup(client),
             run_payment(fleet, client),
@@ -144,8 +148,8 @@
             run_failed_entry(fleet, client),
             run_failed_target(fleet, client),
         ]
-    print_table(rows)
-    return 0 if all(row.held for row in rows) else 1
+    print_table(outcomes)
+    return 0 if all(outcome.as_expected for outcome in outcomes) else 1
 
 
 if __name__ == '__main__':
--- a/tools/generate_reference.py
+++ b/tools/generate_reference.py
@@ -1,7 +1,7 @@
-"""Write the reference pages of the settings and of the operators' file.
+"""Write the reference pages on settings, operators' file and problem types.
 
 Run with ``--check`` to compare the pages with the code instead; the exit
-status is 1 where a page differs. ``--directory`` names another place than
+status is 1 if a page differs. ``--directory`` gives a directory other than
 ``docs/ref``.
 """
 
@@ -24,7 +24,7 @@
 # Settings of the processes
 
 Each setting is a flag, `--vm-id=entry-1`, or an environment variable,
-`SAVORYYOKE_ENTRY_VM_ID=entry-1`. A flag goes before a variable. Unknown flags,
+`SAVORYYOKE_ENTRY_VM_ID=entry-1`. A flag overrides a variable. Unknown flags,
 and unknown variables that begin with the prefix of the process, are refused.
 All faults are reported at once, one line each, and the exit status is 2.
 `--print-settings` prints the settings in force, without secrets, and stops.
@@ -34,8 +34,8 @@
 FILE_INTRODUCTION = f"""\
 # The operators' file
 
-One base holds for all sites; each site may have one overlay. Both are YAML.
-Examples lie in `examples/`; `savoryyoke check`, `render`, `diff` and `explain`
+One base applies to all sites; each site may have one overlay. Both are YAML.
+Examples are in `examples/`; `savoryyoke check`, `render`, `diff` and `explain`
 read the files before they are published.
 
 ## Text
@@ -49,40 +49,42 @@
 ## How an overlay is merged
 
 - Mappings merge by key.
-- Scalars and lists replace what the base holds.
-- `null` deletes an optional key of the base, so that its default holds.
-- An overlay adds and deletes no data centre, service, model, operation or
+- Scalars and lists replace those of the base.
+- `null` deletes an optional key of the base, so that its default applies.
+- An overlay cannot add or delete a data centre, service, model, operation or
   team.
-- An overlay leaves `schema_version` and a service's `kind` as they are, and an
-  operation's `method`, `path` and `idempotent`: a request may be sent again
-  through an entry of another site, which must treat it alike.
+- An overlay cannot change `schema_version`, the `kind` of a service, or the
+  `method`, `path` and `idempotent` of an operation: a request may be retried
+  through an entry of another site, which must treat it in the same way.
 
 ## What is in force
 
-A base with its overlay is accepted or refused as a whole; where it is refused
+A base with its overlay is accepted or refused as a whole; if it is refused,
 the last accepted one stays in force. The revisions of base and overlay are
-compared apart: a process moves to a pair only if neither half is older than
-what it holds. The digest of an accepted pair depends on its meaning alone, so
-processes of one site that report the same digest hold the same configuration.
+compared separately: a process applies a pair only if neither revision is older
+than the one it has. The digest of an accepted pair depends on its meaning
+alone, so processes of one site that report the same digest have the same
+configuration.
 
-Schema versions that this release knows: {VERSIONS}. The fields, defaults and
-checks of a version never change. Raise the version in the file only after
-every process runs a release that knows it."""
+Schema versions that this release supports: {VERSIONS}. The fields, defaults
+and checks of a version never change. Raise the version in the file only after
+every process runs a release that supports it."""
 
 PROBLEMS_INTRODUCTION = f"""\
 # Problem types
 
 A refusal is a problem (RFC 9457) with one of these types, each behind
-`{problems.TYPE_PREFIX}`. Its member `outcome` says what is known:
+`{problems.TYPE_PREFIX}`. Its member `outcome` says whether the call ran:
 
 - `not-run`: the call did not run, and no attempt sent so far can still run;
-- `may-have-run`: nobody knows; a repeat with the same key is safe;
+- `may-have-run`: the call may or may not have run; a repeat with the same key
+  is safe;
 - `ran`: the call ran once.
 
 Further members: `reason`, `detail`, `retry_after_s` (also as `Retry-After`,
 rounded up), `same_key_may_return`, and `binding` for new keys."""
 
-PARTS = (
+SECTIONS = (
     ('whole file', schema.Configuration),
     ('data_centres.NAME', schema.DataCentre),
     ('services.NAME (model_group)', schema.ModelGroup),
@@ -114,8 +116,8 @@
     """Return the text of the page on the operators' file."""
     definitions = _collect_definitions()
     sections = [NOTICE, FILE_INTRODUCTION, '## Fields']
-    for title, part in PARTS:
-        name = part if isinstance(part, str) else part.__name__
+    for title, model in SECTIONS:
+        name = model if isinstance(model, str) else model.__name__
         definition = definitions[name]
         sections.append(f'### `{title}`\n\n{definition["description"]}')
         sections.append(_build_fields_table(definition, definitions))
@@ -125,7 +127,7 @@
 
 
 def build_problems_page():
-    """Return the page of the problem types."""
+    """Return the text of the page on problem types."""
     rows = [
         (f'`{kind.name}`', str(kind.status), f'`{kind.outcome}`', kind.advice)
         for kind in problems.PROBLEM_TYPES_BY_NAME.values()
@@ -145,10 +147,10 @@
 def _build_settings_table(model):
     rows = []
     for name, field in model.model_fields.items():
-        names = f'`{loader.flag_name(name)}`'
+        flag = f'`{loader.flag_name(name)}`'
         variable = f'`{loader.variable_name(model, name)}`'
         default = _render_default(field)
-        rows.append((names, variable, default, field.description))
+        rows.append((flag, variable, default, field.description))
     return _build_table(('Flag', 'Variable', 'Default', 'Meaning'), rows)
 
 
@@ -169,17 +171,19 @@
     required = definition.get('required', ())
     rows = []
     for name, field in definition['properties'].items():
-        target = _resolve(field, definitions)
+        value_schema = _resolve_schema(field, definitions)
         if name in required:
             default = 'required'
         else:
-            default = _render_json(field.get('default'))
-        description = field.get('description') or target['description']
-        rows.append((f'`{name}`', _describe(target), default, description))
+            default = _render_json_default(field.get('default'))
+        description = field.get('description') or value_schema['description']
+        rows.append(
+            (f'`{name}`', _describe_type(value_schema), default, description)
+        )
     return _build_table(('Field', 'Type', 'Default', 'Meaning'), rows)
 
 
-def _resolve(field, definitions):
+def _resolve_schema(field, definitions):
     for choice in field.get('anyOf', ()):
         if choice.get('type') != 'null':
             return choice
@@ -188,7 +192,7 @@
     return field
 
 
-def _render_json(value):
+def _render_json_default(value):
     if value is None:
         return 'unset'
     if isinstance(value, dict):
@@ -198,10 +202,10 @@
     return f'`{value}`'
 
 
-def _describe(field):
+def _describe_type(field):
     if 'enum' in field:
         return 'one of ' + ', '.join(f'`{item}`' for item in field['enum'])
-    kind = {'object': 'mapping', 'array': 'list', 'string': 'text'}.get(
+    type_name = {'object': 'mapping', 'array': 'list', 'string': 'text'}.get(
         field['type'], field['type']
     )
     bounds = [
@@ -213,7 +217,7 @@
         )
         if key in field
     ]
-    return ', '.join([kind, *bounds])
+    return ', '.join([type_name, *bounds])
 
 
 def _build_faults_table(meanings_by_id):
@@ -232,20 +236,20 @@
     parser.add_argument('--check', action='store_true')
     parser.add_argument('--directory', type=pathlib.Path, default=DIRECTORY)
     options = parser.parse_args()
-    different = []
+    differing_pages = []
     for name, build in PAGES_BY_NAME.items():
         path = options.directory / name
         text = build()
         if path.exists() and path.read_text() == text:
             continue
-        different.append(name)
+        differing_pages.append(name)
         if not options.check:
             path.parent.mkdir(parents=True, exist_ok=True)
             path.write_text(text)
     state = 'differs from the code' if options.check else 'written'
-    for name in different:
+    for name in differing_pages:
         print(f'{name}: {state}')
-    return 1 if options.check and different else 0
+    return 1 if options.check and differing_pages else 0
 
 
 if __name__ == '__main__':
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,8 +1,8 @@
-"""Run every test suite of the workspace, each in a process of its own.
+"""Run every test suite of the workspace, each in its own process.
 
-Failures that ``KNOWN-RED.txt`` names are printed and passed over; every other
-failure makes the exit status 1. A listed test that passes is reported too, so
-that its entry can be removed.
+Failures of tests listed in ``KNOWN-RED.txt`` are printed but do not change the
+exit status; any other failure makes it 1. A listed test that passes is printed
+too, so that its entry can be removed.
 """
 
 import concurrent.futures
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SuiteResult:
-    """Describe one finished suite."""
+    """Hold the result of one suite."""
 
     name: str
     ran: int
@@ -36,10 +36,10 @@
 
 
 def find_suites():
-    """Return the directories that hold a ``tests`` package."""
+    """Return the directories with a ``tests`` package, root first."""
     packages = sorted((ROOT / 'packages').iterdir())
     packages.append(ROOT / 'platform')
-    # The longest one begins first.
+    # The root suite takes the longest, so it starts first.
     return [
         ROOT,
         *(path for path in packages if (path / 'tests').is_dir()),
@@ -47,7 +47,7 @@
 
 
 def run_suite(directory):
-    """Run one suite and parse what unittest printed."""
+    """Run one suite and return its parsed result."""
     command = [
         sys.executable,
         '-m',
@@ -81,20 +81,21 @@
 
 
 def parse_result(name, output, status):
-    """Turn the output and exit status of a suite into a result.
+    """Build a result from the output and exit status of a suite.
 
-    Python 3.12 and later exit with 5 where a suite holds no test.
+    unittest in Python 3.12 and later exits with 5 if a suite has no tests.
+    The status is ``None`` after a timeout.
     """
-    counted = _COUNT.search(output)
-    skipped = _SKIPPED.search(output)
+    count_match = _COUNT.search(output)
+    skipped_match = _SKIPPED.search(output)
     failures = tuple(dict.fromkeys(_FAILURE.findall(output)))
-    clean = status in (0, 5) or (status == 1 and bool(failures))
+    exited_normally = status in (0, 5) or (status == 1 and bool(failures))
     return SuiteResult(
         name=name,
-        ran=int(counted.group(1)) if counted else 0,
-        skipped=int(skipped.group(1)) if skipped else 0,
+        ran=int(count_match.group(1)) if count_match else 0,
+        skipped=int(skipped_match.group(1)) if skipped_match else 0,
         failures=failures,
-        completed=clean and counted is not None,
+        completed=exited_normally and count_match is not None,
         output=output,
     )
 
@@ -109,7 +110,7 @@
 
 
 def report(result, known_red):
-    """Print one suite and return its failures that are not listed."""
+    """Print the result of a suite; return its failures that are not known."""
     unexpected = [name for name in result.failures if name not in known_red]
     if unexpected or not result.completed:
         print(result.output)
