--- a/tools/measure/__init__.py
+++ b/tools/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measure policies by seeded simulations."""
+"""Measure costs and policies by simulation and with real processes."""
--- a/tools/measure/__main__.py
+++ b/tools/measure/__main__.py
@@ -1,8 +1,8 @@
-"""Run every measure one after another and print its key=value lines.
+"""Run all measures in sequence; each prints key=value lines.
 
-The large fleets of membership, propagation and control are left out; run those
-modules alone for them. A measure that fails or takes too long is named, the
-others still run, and the exit status is 1.
+The largest fleets of membership, propagation and control are left out; run
+these modules directly to measure them. If a measure fails or times out, its
+name is printed, the others still run, and the exit status is 1.
 """
 
 import subprocess
@@ -29,23 +29,23 @@
 
 
 def run_measure(name, *flags):
-    """Run one measure and return whether it ended well."""
+    """Run one measure and return whether it succeeded."""
     print(f'running={name} flags="{" ".join(flags)}"', flush=True)
     command = [sys.executable, '-m', f'tools.measure.{name}', *flags]
     try:
-        ended = subprocess.run(command, timeout=MEASURE_TIMEOUT_S)
+        process = subprocess.run(command, timeout=MEASURE_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         print(f'failed={name} reason=timeout', flush=True)
         return False
-    if ended.returncode:
-        print(f'failed={name} status={ended.returncode}', flush=True)
-    return ended.returncode == 0
+    if process.returncode:
+        print(f'failed={name} status={process.returncode}', flush=True)
+    return process.returncode == 0
 
 
 def main():
     """Run all measures; return 1 if one of them failed."""
-    results = [run_measure(*measure) for measure in MEASURES]
-    return 0 if all(results) else 1
+    successes = [run_measure(*measure) for measure in MEASURES]
+    return 0 if all(successes) else 1
 
 
 if __name__ == '__main__':
--- a/tools/measure/at_most_once.py
+++ b/tools/measure/at_most_once.py
@@ -1,8 +1,8 @@
-"""Measure what at most one run costs callers, and what a ledger costs.
+"""Measure what running calls at most once costs callers and ledgers.
 
-Prints one line of key=value pairs for each measurement. Shares for a day are
-worked out from runs of 30 s around one event each and the number of such
-events a day; calls far from any event are taken to run.
+Prints one line of key=value pairs for each measurement. The shares of a day
+are computed from 30 s runs around one event each and the number of such
+events a day. Calls far from any event are assumed to run.
 """
 
 import argparse
@@ -22,11 +22,11 @@
 SECONDS_PER_DAY = 86_400
 BEFORE_S = 12.0
 AFTER_S = 18.0
-DOWN_S = 5.0
-STRESS_S = 120.0
-# Callers keep a binding for up to this time before they use it.
+DOWNTIME_S = 5.0
+STRESS_DURATION_S = 120.0
+# The longest time for which callers keep a binding before they use it.
 BINDING_AGES_S = (10.0, 1.0)
-ENDS = (
+OUTCOME_NAMES = (
     'ran',
     'not_run',
     'may_have_run',
@@ -39,7 +39,7 @@
 
 def _fail_target(callers):
     callers.world.stop('t0')
-    callers.run(DOWN_S)
+    callers.run(DOWNTIME_S)
     callers.world.start('t0')
 
 
@@ -47,7 +47,7 @@
     callers.world.drain('t0', 't1')
     callers.run(2.0)
     callers.world.stop('t0')
-    callers.run(DOWN_S)
+    callers.run(DOWNTIME_S)
     callers.world.start('t0')
 
 
@@ -56,17 +56,17 @@
         callers.refuse_queued('t0')
         callers.run(0.2)
     callers.world.stop('t0')
-    callers.run(DOWN_S)
+    callers.run(DOWNTIME_S)
     callers.world.start('t0')
 
 
 def _replace_entry(callers):
     callers.world.stop('e0')
-    callers.run(DOWN_S)
+    callers.run(DOWNTIME_S)
     callers.world.start('e0')
 
 
-_EVENTS = {
+_EVENTS_BY_NAME = {
     'target_failed': (_fail_target, FAILURES_PER_DAY * TARGETS / VMS),
     'target_replaced': (
         _replace_target,
@@ -76,7 +76,7 @@
         _replace_target_without_heir,
         REPLACEMENTS_PER_DAY * TARGETS / VMS,
     ),
-    # An entry's end is taken to be a failure each time.
+    # A replaced entry is simulated like a failed one.
     'entry_stopped': (
         _replace_entry,
         (FAILURES_PER_DAY + REPLACEMENTS_PER_DAY) * ENTRIES / VMS,
@@ -84,7 +84,7 @@
 }
 
 
-def _run_guarded(callers, *actions):
+def _run_until_fault(callers, *actions):
     try:
         for action in actions:
             action()
@@ -95,15 +95,15 @@
 
 
 def measure_event(name, seeds, binding_age_s):
-    """Return the mean counts of one event over ``seeds`` runs."""
-    cause, _ = _EVENTS[name]
+    """Return the mean counts of ``seeds`` runs with one event each."""
+    trigger, _ = _EVENTS_BY_NAME[name]
     total = collections.Counter()
     for seed in range(seeds):
         callers = keyed_calls.Callers(seed=seed, binding_age_s=binding_age_s)
-        _run_guarded(
+        _run_until_fault(
             callers,
             lambda c=callers: c.run(BEFORE_S),
-            lambda c=callers: cause(c),
+            lambda c=callers: trigger(c),
             lambda c=callers: c.run(AFTER_S),
             callers.finish,
         )
@@ -114,19 +114,24 @@
         seeds=f'0..{seeds - 1}',
         calls=total['calls'],
         false_answers=total['false_answers'],
-        **{end: total[end] for end in ENDS},
+        **{
+            outcome_name: total[outcome_name] for outcome_name in OUTCOME_NAMES
+        },
     )
-    return {end: total[end] / seeds for end in ENDS}
+    return {
+        outcome_name: total[outcome_name] / seeds
+        for outcome_name in OUTCOME_NAMES
+    }
 
 
 def measure_hash(seeds):
-    """Return the mean double runs when a target of the hash stops."""
+    """Return the mean number of double runs after a hashed target stops."""
     total = collections.Counter()
     for seed in range(seeds):
         fleet = hash_binding.HashBinding(seed=seed)
         fleet.run(BEFORE_S)
         fleet.stop(0)
-        fleet.run(DOWN_S)
+        fleet.run(DOWNTIME_S)
         fleet.start(0)
         fleet.run(AFTER_S)
         fleet.finish()
@@ -141,27 +146,37 @@
 
 
 def measure_day(seeds, binding_age_s):
-    """Measure a day of calls with heirs and without."""
+    """Measure a day of calls, with and without heirs of the ledgers."""
     means_by_event = {
-        name: measure_event(name, seeds, binding_age_s) for name in _EVENTS
+        name: measure_event(name, seeds, binding_age_s)
+        for name in _EVENTS_BY_NAME
     }
-    ours = ('target_failed', 'target_replaced', 'entry_stopped')
-    _report_day('day', binding_age_s, means_by_event, ours)
-    naive = ('target_failed', 'target_replaced_without_heir', 'entry_stopped')
-    _report_day('day_without_heirs', binding_age_s, means_by_event, naive)
+    events_with_heirs = ('target_failed', 'target_replaced', 'entry_stopped')
+    _report_day('day', binding_age_s, means_by_event, events_with_heirs)
+    events_without_heirs = (
+        'target_failed',
+        'target_replaced_without_heir',
+        'entry_stopped',
+    )
+    _report_day(
+        'day_without_heirs',
+        binding_age_s,
+        means_by_event,
+        events_without_heirs,
+    )
 
 
 def _report_day(name, binding_age_s, means_by_event, event_names):
-    """Report the shares of a day's calls at the letter's rates."""
+    """Print the counts and shares of a day's calls by outcome."""
     calls = keyed_calls.CALLS_PER_TARGET_S * TARGETS * SECONDS_PER_DAY
     shares = {}
-    for end in ('may_have_run', 'ever_may_have_run', 'first_refused'):
+    for outcome_name in ('may_have_run', 'ever_may_have_run', 'first_refused'):
         count = sum(
-            means_by_event[event][end] * _EVENTS[event][1]
+            means_by_event[event][outcome_name] * _EVENTS_BY_NAME[event][1]
             for event in event_names
         )
-        shares[f'{end}_per_day'] = round(count, 1)
-        shares[f'{end}_share'] = f'{count / calls:.2e}'
+        shares[f'{outcome_name}_per_day'] = round(count, 1)
+        shares[f'{outcome_name}_share'] = f'{count / calls:.2e}'
     reports.print_line(
         name,
         binding_age_s=binding_age_s,
@@ -171,20 +186,23 @@
 
 
 def measure_stress(name, seeds, *, with_heirs):
-    """Run callers while failures of all kinds come every few seconds."""
+    """Run callers while failures of all kinds occur every few seconds."""
     total = collections.Counter()
     for seed in range(seeds):
         callers = keyed_calls.Callers(
             seed=seed, binding_age_s=BINDING_AGES_S[0]
         )
-        _run_guarded(
+        _run_until_fault(
             callers,
             lambda c=callers: c.run(BEFORE_S),
-            lambda c=callers: _stress(c, with_heirs),
+            lambda c=callers: _inject_failures(c, with_heirs),
             callers.finish,
         )
         total += callers.counts
-    shares = {f'{e}_share': round(total[e] / total['calls'], 5) for e in ENDS}
+    shares = {
+        f'{outcome_name}_share': round(total[outcome_name] / total['calls'], 5)
+        for outcome_name in OUTCOME_NAMES
+    }
     reports.print_line(
         name,
         seeds=f'0..{seeds - 1}',
@@ -194,36 +212,40 @@
     )
 
 
-def _stress(callers, with_heirs):
+def _inject_failures(callers, with_heirs):
     world, generator = callers.world, callers.generator
-    end_s = world.now_s + STRESS_S
+    end_s = world.now_s + STRESS_DURATION_S
     while world.now_s < end_s:
-        targets = [t for t in world.target_ids if world.is_awake(t)]
-        kind = generator.integers(6)
-        if kind == 0 and len(targets) > 1:
+        targets = [
+            target_id
+            for target_id in world.target_ids
+            if world.is_awake(target_id)
+        ]
+        failure_kind = generator.integers(6)
+        if failure_kind == 0 and len(targets) > 1:
             world.stop(targets[0])
-        elif kind == 1 and len(targets) > 1 and with_heirs:
+        elif failure_kind == 1 and len(targets) > 1 and with_heirs:
             world.drain(targets[0], targets[1])
             callers.run(1.0)
             world.stop(targets[0])
-        elif kind == 1 and len(targets) > 1:
+        elif failure_kind == 1 and len(targets) > 1:
             callers.refuse_queued(targets[0])
             callers.run(1.0)
             world.stop(targets[0])
-        elif kind == 2:
+        elif failure_kind == 2:
             world.start('e0')
-        elif kind == 3:
+        elif failure_kind == 3:
             world.freeze('e1')
-        elif kind == 4 and targets:
+        elif failure_kind == 4 and targets:
             world.freeze(targets[-1])
-        elif kind == 5:
+        elif failure_kind == 5:
             world.cuts.add(frozenset(('e1', 't1')))
         callers.run(1.0 + 2.0 * generator.random())
-        _mend(world)
+        _repair(world)
         callers.run(1.0)
 
 
-def _mend(world):
+def _repair(world):
     world.cuts.clear()
     for slot in tuple(world.inboxes_by_frozen_slot):
         world.thaw(slot)
@@ -239,8 +261,8 @@
     seeds = parser.parse_args().seeds
     for age_s in BINDING_AGES_S:
         measure_day(seeds, age_s)
-    _, failures = _EVENTS['target_failed']
-    _, replacements = _EVENTS['target_replaced']
+    _, failures = _EVENTS_BY_NAME['target_failed']
+    _, replacements = _EVENTS_BY_NAME['target_replaced']
     double_runs = measure_hash(seeds) * (failures + replacements)
     reports.print_line('day_hash', double_runs_per_day=round(double_runs, 1))
     measure_stress('stress', seeds, with_heirs=True)
--- a/tools/measure/cold_targets.py
+++ b/tools/measure/cold_targets.py
@@ -1,8 +1,9 @@
-"""Measure what a target that starts or turns cold has to bear.
+"""Compare concurrency limits for targets that start or become cold.
 
-A back end bears more the more calls it has completed since its start. Beyond
-that it slows down, and far beyond it crashes and restarts. The limit
-by evidence is compared with no limit of its own and with a timed ramp.
+The more calls a back end has completed since its start, the more it can run
+at once. Above that number it slows down, and far above it crashes and
+restarts. The product's limit, which follows completed calls, is compared with
+a fixed limit and with a limit that rises over time.
 """
 
 import dataclasses
@@ -20,9 +21,9 @@
 DEADLINE_S = 20.0
 WARM_SERVICE_S = 1.0
 COLD_SLOWDOWN = 4.0
-COLD_BEARS = 2.0
+COLD_CAPACITY_CALLS = 2.0
 RESTART_S = 10.0
-TURNS_COLD_S = 120.0
+TURNS_COLD_AT_S = 120.0
 RAMP_S = 60.0
 END_S = 240.0
 SEEDS = range(5)
@@ -44,10 +45,10 @@
 
 
 class FixedLimit:
-    """Let the operators' bound be in force at once and always."""
+    """Apply the operators' maximum at all times."""
 
     def __init__(self, *, limits, policy):
-        """Keep the bound."""
+        """Store the limits."""
         self._limits = limits
         self.epoch = 0
         self.cold = False
@@ -74,10 +75,10 @@
 
 
 class TimedRamp(FixedLimit):
-    """Raise the limit evenly over RAMP_S after each known restart."""
+    """Raise the limit linearly over RAMP_S after each reported restart."""
 
     def __init__(self, **options):
-        """Start cold."""
+        """Start the ramp at time 0."""
         super().__init__(**options)
         self._now_s = 0.0
         self._started_s = 0.0
@@ -89,7 +90,7 @@
         return max(1, int(min(share, 1.0) * self._limits.max_concurrency))
 
     def halve_if_idle(self, *, now_s, running):
-        """Follow the time."""
+        """Store the current time."""
         self._now_s = now_s
 
     def turn_cold(self):
@@ -99,7 +100,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Backend:
-    """Model a back end that warms up by its calls."""
+    """Model a back end that warms up as it completes calls."""
 
     scenario: Scenario
     completed: int = 0
@@ -109,18 +110,20 @@
 
     @property
     def warmth(self):
-        """Return how warm it is, from 0.0 to 1.0."""
+        """Return the progress of the warm-up, from 0.0 to 1.0."""
         return min(self.completed / self.scenario.calls_to_warm, 1.0)
 
     @property
-    def bears(self):
-        """Return the calls that it bears side by side."""
-        return COLD_BEARS + self.warmth * (MAX_CONCURRENCY - COLD_BEARS)
+    def capacity_calls(self):
+        """Return how many calls it can run at once without slowing down."""
+        return COLD_CAPACITY_CALLS + self.warmth * (
+            MAX_CONCURRENCY - COLD_CAPACITY_CALLS
+        )
 
     def service_s(self, generator):
-        """Return the time that the next call takes."""
+        """Return the duration of the next call in seconds."""
         slowdown = 1 + (COLD_SLOWDOWN - 1) * (1 - self.warmth)
-        crowding = max(self.running / self.bears, 1.0)
+        crowding = max(self.running / self.capacity_calls, 1.0)
         noise = generator.uniform(0.8, 1.2)
         return WARM_SERVICE_S * slowdown * crowding * noise
 
@@ -129,7 +132,7 @@
     """Simulate one target under steady traffic."""
 
     def __init__(self, *, limit_class, scenario, seed):
-        """Schedule the traffic."""
+        """Schedule the first arrival and the loss of warmth."""
         self._scenario = scenario
         self._generator = numpy.random.default_rng(seed)
         self._admission = aggregates.Admission(
@@ -148,13 +151,13 @@
         self._now_s = 0.0
         self._running = set()
         self.crashes = 0
-        self.lost = 0
+        self.lost_calls = 0
         self.completed_s = []
         self._schedule(0.0, self._arrive)
-        self._schedule(TURNS_COLD_S, self._turn_cold)
+        self._schedule(TURNS_COLD_AT_S, self._turn_cold)
 
     def run(self):
-        """Run to the end."""
+        """Run the simulation up to ``END_S``."""
         while self._pending and self._pending[0][0] < END_S:
             self._now_s, _, action = heapq.heappop(self._pending)
             action()
@@ -181,7 +184,10 @@
         backend = self._backend
         backend.running += 1
         self._running.add(call_id)
-        if backend.running > self._scenario.crashes_at_share * backend.bears:
+        if (
+            backend.running
+            > self._scenario.crashes_at_share * backend.capacity_calls
+        ):
             self._schedule(0.0, self._crash)
         starts = backend.starts
         service_s = backend.service_s(self._generator)
@@ -203,7 +209,7 @@
         )
 
     def _turn_cold(self):
-        # Nobody is told: only the service times show it.
+        # No event is sent; only the service times show the change.
         self._backend.completed = 0
 
     def _crash(self):
@@ -211,7 +217,7 @@
             return
         self._backend.up = False
         self.crashes += 1
-        self.lost += len(self._running)
+        self.lost_calls += len(self._running)
         self._apply(events.BackendStopped())
         for call_id in sorted(self._running):
             self._apply(
@@ -238,7 +244,7 @@
     for target in targets:
         target.run()
     completed = [len(target.completed_s) for target in targets]
-    last_minute = [
+    completed_in_last_minute = [
         sum(at_s > END_S - 60 for at_s in target.completed_s)
         for target in targets
     ]
@@ -248,9 +254,9 @@
         f' crashes_at_share={scenario.crashes_at_share}'
         f' seeds={SEEDS.start}-{SEEDS.stop - 1}'
         f' crashes_mean={numpy.mean([t.crashes for t in targets]):.1f}'
-        f' lost_calls_mean={numpy.mean([t.lost for t in targets]):.1f}'
+        f' lost_calls_mean={numpy.mean([t.lost_calls for t in targets]):.1f}'
         f' completed_mean={numpy.mean(completed):.0f}'
-        f' last_minute_per_s={numpy.mean(last_minute) / 60:.1f}'
+        f' last_minute_per_s={numpy.mean(completed_in_last_minute) / 60:.1f}'
     )
 
 
--- a/tools/measure/configuration_file.py
+++ b/tools/measure/configuration_file.py
@@ -1,8 +1,8 @@
-"""Measure what judging the operators' file costs as it grows.
+"""Measure the cost of validating the operators' file by its size.
 
-Prints one line for each size: bytes of the text, median and largest time of
-one judgement in milliseconds of processor time, and the memory that the
-accepted configuration holds. Then one line for each hostile text.
+Prints one line for each size: bytes of the text, median and largest processor
+time of one validation in milliseconds, and the memory of the accepted
+configuration in bytes. Then prints one line for each hostile text.
 """
 
 import gc
@@ -32,7 +32,7 @@
 
 
 def build_text(teams_count):
-    """Return a base with ``teams_count`` teams."""
+    """Return the text of a base with ``teams_count`` teams."""
     services = {
         f'service-{number}': _build_service(number)
         for number in range(SERVICES_COUNT)
@@ -76,7 +76,7 @@
     }
 
 
-def measure(action):
+def measure_times(action):
     """Return the processor times of ``ROUNDS`` runs, in milliseconds."""
     times_ms = []
     for _ in range(ROUNDS):
@@ -87,22 +87,22 @@
 
 
 def measure_memory(text):
-    """Return the bytes that the accepted configuration of ``text`` holds."""
+    """Return the memory of the configuration in ``text``, in bytes."""
     gc.collect()
     tracemalloc.start()
-    held = documents.build(text)
+    configuration = documents.build(text)
     gc.collect()
     size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del configuration
     return size_bytes
 
 
 def main():
-    """Print the figures."""
+    """Print one line for each size and each hostile text."""
     for teams_count in TEAMS_COUNTS:
         text = build_text(teams_count)
-        times_ms = measure(lambda text=text: documents.build(text))
+        times_ms = measure_times(lambda text=text: documents.build(text))
         print(
             f'teams={teams_count} text_bytes={len(text)}'
             f' median_ms={statistics.median(times_ms):.1f}'
@@ -110,7 +110,7 @@
             f' held_bytes={measure_memory(text)}'
         )
     for name, text in HOSTILE_TEXTS_BY_NAME.items():
-        times_ms = measure(lambda text=text: documents.build(text))
+        times_ms = measure_times(lambda text=text: documents.build(text))
         print(
             f'hostile={name} text_bytes={len(text)}'
             f' median_ms={statistics.median(times_ms):.1f}'
--- a/tools/measure/control.py
+++ b/tools/measure/control.py
@@ -1,10 +1,10 @@
-"""Measure what control costs each daemon, in idle fleets of processes.
+"""Measure the control costs of each daemon in idle fleets of processes.
 
-Bytes are payload, sent plus received, by kind: membership's datagrams, the
-platform's answers, and the connections between entries and targets. Only
-entries count datagrams; a target exchanges as many. Least squares over all
-processes gives the cost of each link and of each member of the fleet, and
-from these the cost at 350 entries and 1,300 targets.
+Bytes are payload, sent plus received, by kind: membership datagrams, answers
+of the platform, and connections between entries and targets. Only entries
+count datagrams; a target exchanges as many. A least-squares fit over all
+processes gives the cost per link and per member of the fleet, and from these
+the cost at 350 entries and 1,300 targets.
 """
 
 import argparse
@@ -22,17 +22,21 @@
 from tools.measure import processes
 from tools.measure import reports
 
-FLEETS = ((4, 6), (8, 15), (8, 40), (16, 44), (24, 96))
+# Numbers of entries and targets.
+FLEET_SIZES = ((4, 6), (8, 15), (8, 40), (16, 44), (24, 96))
 PROJECTED_MEMBERS = 1_650
 # Each target of one service selects 11 entries, 14,300 links in all.
 PROJECTED_LINKS_BY_ROLE = {'entry': 41, 'target': 11}
 ENTRY_PREFIX = 'entry-'
-LINKS_BY_ROLE = {'entry': 'targets_connected', 'target': 'entries'}
+LINK_STATUS_FIELDS_BY_ROLE = {
+    'entry': 'targets_connected',
+    'target': 'entries',
+}
 DATA_CENTRES = ('dc-a', 'dc-b', 'dc-c')
 SETTLE_S = 20.0
 WINDOW_S = 30.0
 LIMITS_BY_FIGURE = {'core_share': 0.011, 'memory_bytes': 128_000_000}
-# For all kinds of bytes together.
+# The limit for the sum of all kinds of bytes.
 BYTES_LIMIT_PER_S = 5_000
 FIGURES = (
     'core_share',
@@ -41,9 +45,9 @@
     'link_bytes_per_s',
     'datagram_bytes_per_s',
 )
-_SOCKET = re.compile(r'(\S+:\d+)\s+(\S+:\d+)\s.*?pid=(\d+)')
-_BYTES = re.compile(r'bytes_(?:sent|received):(\d+)')
-_DATAGRAMS = re.compile(
+_SOCKET_PATTERN = re.compile(r'(\S+:\d+)\s+(\S+:\d+)\s.*?pid=(\d+)')
+_BYTES_PATTERN = re.compile(r'bytes_(?:sent|received):(\d+)')
+_DATAGRAM_BYTES_PATTERN = re.compile(
     r'^savoryyoke_entry_control_(?:sent|received)_bytes (\S+)', re.MULTILINE
 )
 
@@ -59,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cost:
-    """Hold what one process used in the window."""
+    """Hold the costs of one process over the measured time."""
 
     links: int
     members: int
@@ -71,7 +75,7 @@
 
 
 class LargeFleet(fleets.Fleet):
-    """Run a fleet in which an entry connects to some of the targets."""
+    """Run a fleet in which each entry connects to some of the targets."""
 
     def wait_until_ready(self):
         """Wait until all entries are connected to their targets."""
@@ -81,17 +85,19 @@
 
 
 def main():
-    """Measure each size and project the slopes."""
+    """Measure each fleet size and project the costs to the full size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--largest', type=int, default=120)
     parser.add_argument('--window-s', type=float, default=WINDOW_S)
     arguments = parser.parse_args()
     costs_by_role = collections.defaultdict(list)
-    for entries, targets in FLEETS:
+    for entries, targets in FLEET_SIZES:
         if entries + targets > arguments.largest:
             continue
-        found = measure_fleet(entries, targets, arguments.window_s)
-        for role, costs in found.items():
+        fleet_costs_by_role = measure_fleet(
+            entries, targets, arguments.window_s
+        )
+        for role, costs in fleet_costs_by_role.items():
             costs_by_role[role].extend(costs)
     for role, costs in costs_by_role.items():
         if len({(cost.links, cost.members) for cost in costs}) > 2:
@@ -99,7 +105,7 @@
 
 
 def build_places(entries, targets):
-    """Return the places of a fleet whose targets share one stand-in."""
+    """Return the places of a fleet whose targets share one fake engine."""
     entry_places = tuple(
         fleets.EntryPlace(
             vm_id=f'{ENTRY_PREFIX}{number}',
@@ -128,19 +134,19 @@
     }
     with LargeFleet(**places) as fleet:
         time.sleep(SETTLE_S)
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         before_by_id = take_samples(fleet, ids_by_role)
         time.sleep(window_s)
-        elapsed_s = time.monotonic() - began_s
+        elapsed_s = time.monotonic() - started_s
         after_by_id = take_samples(fleet, ids_by_role)
         links_by_id = {
-            vm_id: fleet.read_status(vm_id)[LINKS_BY_ROLE[role]]
+            vm_id: fleet.read_status(vm_id)[LINK_STATUS_FIELDS_BY_ROLE[role]]
             for role, ids in ids_by_role.items()
             for vm_id in ids
         }
     costs_by_role = {
         role: [
-            compare(
+            compute_cost(
                 before_by_id[vm_id],
                 after_by_id[vm_id],
                 elapsed_s,
@@ -163,62 +169,62 @@
     for role, ids in ids_by_role.items():
         for vm_id in ids:
             pid = fleet.processes_by_name[vm_id].pid
-            counted = dict(bytes_by_pid[pid])
+            bytes_by_kind = dict(bytes_by_pid[pid])
             if role == 'entry':
-                counted['datagram'] = read_datagram_bytes(fleet, vm_id)
+                bytes_by_kind['datagram'] = read_datagram_bytes(fleet, vm_id)
             samples_by_id[vm_id] = Sample(
                 processor_s=processes.read_processor_s(pid),
                 memory_bytes=processes.read_memory_bytes(pid),
-                bytes_by_kind=counted,
+                bytes_by_kind=bytes_by_kind,
             )
     return samples_by_id
 
 
 def read_connections(fleet):
-    """Return the bytes on open connections by process and by kind."""
+    """Return the bytes on open connections by process id and kind."""
     platform = fleet.addresses_by_name['platform']
     backends = {
         address
         for name, address in fleet.addresses_by_name.items()
         if name.endswith('.backend')
     }
-    listed = subprocess.run(
+    process = subprocess.run(
         ['ss', '-tinpH'], capture_output=True, text=True, check=True
     )
-    lines = iter(listed.stdout.splitlines())
+    lines = iter(process.stdout.splitlines())
     bytes_by_pid = collections.defaultdict(collections.Counter)
     for line in lines:
-        found = _SOCKET.search(line)
+        match = _SOCKET_PATTERN.search(line)
         detail = next(lines, '')
-        if found is None or found.group(2) in backends:
+        if match is None or match.group(2) in backends:
             continue
-        kind = 'platform' if found.group(2) == platform else 'link'
-        counted = sum(int(text) for text in _BYTES.findall(detail))
-        bytes_by_pid[int(found.group(3))][kind] += counted
+        kind = 'platform' if match.group(2) == platform else 'link'
+        byte_count = sum(int(text) for text in _BYTES_PATTERN.findall(detail))
+        bytes_by_pid[int(match.group(3))][kind] += byte_count
     return bytes_by_pid
 
 
 def read_datagram_bytes(fleet, vm_id):
-    """Return the bytes of datagrams that an entry counted."""
+    """Return the datagram bytes that an entry has counted."""
     address = fleet.admin_addresses_by_name[vm_id]
     text = clients.call('GET', address, '/metrics').body.decode()
-    return sum(float(value) for value in _DATAGRAMS.findall(text))
+    return sum(float(value) for value in _DATAGRAM_BYTES_PATTERN.findall(text))
 
 
-def compare(before, after, elapsed_s, *, links, members):
+def compute_cost(before, after, elapsed_s, *, links, members):
     """Return the cost of one process between two samples."""
-    grown = {
-        kind: (after.bytes_by_kind.get(kind, 0) - counted) / elapsed_s
-        for kind, counted in before.bytes_by_kind.items()
+    bytes_per_s_by_kind = {
+        kind: (after.bytes_by_kind.get(kind, 0) - byte_count) / elapsed_s
+        for kind, byte_count in before.bytes_by_kind.items()
     }
     return Cost(
         links=links,
         members=members,
         core_share=(after.processor_s - before.processor_s) / elapsed_s,
         memory_bytes=after.memory_bytes,
-        platform_bytes_per_s=grown.get('platform', 0.0),
-        link_bytes_per_s=grown.get('link', 0.0),
-        datagram_bytes_per_s=grown.get('datagram', 0.0),
+        platform_bytes_per_s=bytes_per_s_by_kind.get('platform', 0.0),
+        link_bytes_per_s=bytes_per_s_by_kind.get('link', 0.0),
+        datagram_bytes_per_s=bytes_per_s_by_kind.get('datagram', 0.0),
     )
 
 
@@ -248,7 +254,7 @@
 
 
 def project(role, costs):
-    """Print each figure's slopes and its value at full size."""
+    """Print the fitted slopes of each figure and its value at full size."""
     factors = numpy.array([[1, cost.links, cost.members] for cost in costs])
     full_size = (1, PROJECTED_LINKS_BY_ROLE[role], PROJECTED_MEMBERS)
     for name in FIGURES:
--- a/tools/measure/crash_requests.py
+++ b/tools/measure/crash_requests.py
@@ -1,9 +1,9 @@
-"""Measure how many targets one crashing request takes down.
+"""Measure how many back ends one crashing request stops.
 
 A fleet of 12 targets and 8 entries serves steady traffic. One caller sends a
-request that crashes each back end that runs it, and sends it again, with a
-new key, to any entry; four callers may do so side by side. Further back
-ends crash for no request's fault.
+request that crashes each back end that runs it, and repeats it with a new key
+through any entry; in other cases four callers do so in parallel. Back ends
+also crash for reasons unrelated to any request.
 """
 
 import collections
@@ -25,10 +25,10 @@
 CALLS_PER_S = 30.0
 MEAN_SERVICE_S = 2.0
 RESTART_S = 30.0
-RESEND_S = 0.5
-WAIT_FOR_ROOM_S = 0.2
-MOST_TRIES = 3
-FIRST_POISON_S = 20.0
+POISON_RESEND_DELAY_S = 0.5
+RETRY_DELAY_S = 0.2
+MAX_TRIES = 3
+FIRST_POISON_AT_S = 20.0
 END_S = 320.0
 BACKGROUND_CRASHES_PER_S = 1 / 60
 POISON = b'poison'
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Call:
-    """Hold one request and where its last try went."""
+    """Hold one request and the state of its tries."""
 
     call_id: str
     fingerprint: bytes
@@ -47,7 +47,7 @@
 
 
 class Reply(enum.Enum):
-    """Say what a target makes of a call."""
+    """Enumerate the replies of a target to a call."""
 
     RUN = 'run'
     TRY_NEXT = 'try_next'
@@ -56,28 +56,28 @@
 
 
 class NoGuard:
-    """Run whatever comes."""
+    """Run all requests."""
 
     def __init__(self, **ignored):
         """Ignore the fleet."""
 
     def offer(self, call, targets):
-        """Return the targets to try in order; None to refuse for good."""
+        """Return the targets to try, in order; None to refuse for good."""
         return targets
 
     def start(self, target, call):
-        """Return the target's reply."""
+        """Return the reply of a target to a call."""
         return Reply.RUN
 
     def end(self, target, call):
-        """Note a success."""
+        """Handle the success of a call."""
 
     def crash(self, target, calls):
-        """Note a crash."""
+        """Handle the crash of a back end while it ran ``calls``."""
 
 
 class CountingGuard(NoGuard):
-    """Refuse at each entry what it has seen crash three times."""
+    """Refuse at each entry the requests that it saw in three crashes."""
 
     _CRASHES_TO_REFUSE = 3
 
@@ -86,7 +86,7 @@
         self._crashes = collections.Counter()
 
     def offer(self, call, targets):
-        """Refuse what this entry has seen crash too often."""
+        """Return the targets, or None if the request crashed too often."""
         crashes = self._crashes[call.entry, call.fingerprint]
         return None if crashes >= self._CRASHES_TO_REFUSE else targets
 
@@ -97,7 +97,7 @@
 
 
 class QuarantineGuard(NoGuard):
-    """Use the library, with gossip that takes ``delay_s``."""
+    """Use the quarantine of the library, with gossip after ``delay_s``."""
 
     def __init__(self, *, fleet, delay_s, crashes_to_quarantine):
         """Start one aggregate at each entry and target."""
@@ -116,60 +116,60 @@
         fleet.schedule(1.0, self._gossip)
 
     def offer(self, call, targets):
-        """Ask the entry's aggregate."""
+        """Return the targets that the aggregate of the entry allows."""
         offered = events.CallOffered(
             call_id=call.call_id, fingerprint=call.fingerprint
         )
-        (made,) = self._apply(self._entries[call.entry], offered)
-        if isinstance(made, decisions.RefusePermanently):
+        (decision,) = self._apply(self._entries[call.entry], offered)
+        if isinstance(decision, decisions.RefusePermanently):
             return None
-        if isinstance(made, decisions.Route):
+        if isinstance(decision, decisions.Route):
             return targets
-        call.reports = made.reports
+        call.reports = decision.reports
         ranked = isolation.rank_targets(
             fingerprint=call.fingerprint, target_ids=map(str, targets)
         )
         return [int(target) for target in ranked]
 
     def start(self, target, call):
-        """Ask the target's aggregate."""
+        """Return the reply of the aggregate of the target."""
         requested = events.RunRequested(
             call_id=call.call_id,
             fingerprint=call.fingerprint,
             reports=call.reports,
         )
-        made = self._apply(self._targets[target], requested)[-1]
-        if isinstance(made, decisions.RefusePermanently):
+        decision = self._apply(self._targets[target], requested)[-1]
+        if isinstance(decision, decisions.RefusePermanently):
             return Reply.REFUSE
-        if isinstance(made, decisions.Run):
+        if isinstance(decision, decisions.Run):
             return Reply.RUN
-        return Reply.WAIT if made.same_request else Reply.TRY_NEXT
+        return Reply.WAIT if decision.same_request else Reply.TRY_NEXT
 
     def end(self, target, call):
-        """Tell the target and the entry of a success."""
+        """Report the success to the target and the entry."""
         ended = events.RunEnded(call_id=call.call_id, succeeded=True)
         self._apply(self._targets[target], ended)
         succeeded = events.CallSucceeded(fingerprint=call.fingerprint)
         self._apply(self._entries[call.entry], succeeded)
 
     def crash(self, target, calls):
-        """Tell the entries with the failed answers, the rest by gossip."""
+        """Report the crash to the callers' entries, to others by gossip."""
         self._crashes += 1
         crashed = events.BackendCrashed(crash_id=str(self._crashes))
         for share in self._apply(self._targets[target], crashed):
             received = events.ReportsReceived(reports=share.reports)
             for entry in {call.entry for call in calls}:
                 self._apply(self._entries[entry], received)
-            self._spread(share.reports)
+            self._schedule_gossip_delivery(share.reports)
 
     def _gossip(self):
         for process in self._entries + self._targets:
             due = events.HeartbeatDue(report_limit=2)
             for share in self._apply(process, due):
-                self._spread(share.reports)
+                self._schedule_gossip_delivery(share.reports)
         self._fleet.schedule(1.0, self._gossip)
 
-    def _spread(self, reports):
+    def _schedule_gossip_delivery(self, reports):
         received = events.ReportsReceived(reports=reports)
 
         def deliver():
@@ -183,7 +183,7 @@
 
 
 class Fleet:
-    """Simulate entries, targets and callers by virtual time."""
+    """Simulate entries, targets and callers in virtual time."""
 
     def __init__(self, *, guard_class, seed, senders, **guard_options):
         """Schedule the traffic and the crashes."""
@@ -195,35 +195,35 @@
         self._down_until_s = [0.0] * TARGETS
         self.counts = collections.Counter()
         self._guard = guard_class(fleet=self, **guard_options)
-        self.schedule(0.0, self._arrive)
+        self.schedule(0.0, self._create_healthy_call)
         for _ in range(senders):
-            self.schedule(FIRST_POISON_S, self._send_poison)
-        self.schedule(self._background_gap_s(), self._crash_any)
+            self.schedule(FIRST_POISON_AT_S, self._send_poison)
+        self.schedule(self._background_gap_s(), self._crash_random_target)
 
     def schedule(self, delay_s, action):
-        """Run an action after a delay."""
+        """Run an action after a delay in seconds."""
         self._sequence += 1
         entry = (self.now_s + delay_s, self._sequence, action)
         heapq.heappush(self._pending, entry)
 
     def run(self):
-        """Run to the end and return the counts."""
+        """Run up to ``END_S`` and return the counts."""
         while self._pending and self._pending[0][0] < END_S:
             self.now_s, _, action = heapq.heappop(self._pending)
             action()
         return self.counts
 
-    def _arrive(self):
+    def _create_healthy_call(self):
         self.counts['healthy'] += 1
         number = self.counts['healthy']
-        self._try(self._new_call(f'call-{number}'.encode()))
+        self._try(self._make_call(f'call-{number}'.encode()))
         gap_s = self._generator.exponential(1 / CALLS_PER_S)
-        self.schedule(gap_s, self._arrive)
+        self.schedule(gap_s, self._create_healthy_call)
 
     def _send_poison(self):
-        self._try(self._new_call(POISON))
+        self._try(self._make_call(POISON))
 
-    def _new_call(self, fingerprint):
+    def _make_call(self, fingerprint):
         self._sequence += 1
         return Call(
             call_id=f'{self._sequence}',
@@ -232,10 +232,14 @@
         )
 
     def _try(self, call):
-        up = [t for t in range(TARGETS) if self._down_until_s[t] <= self.now_s]
-        self._generator.shuffle(up)
-        up.sort(key=lambda target: len(self._running[target]))
-        targets = self._guard.offer(call, up)
+        running_targets = [
+            target
+            for target in range(TARGETS)
+            if self._down_until_s[target] <= self.now_s
+        ]
+        self._generator.shuffle(running_targets)
+        running_targets.sort(key=lambda target: len(self._running[target]))
+        targets = self._guard.offer(call, running_targets)
         if targets is None:
             self._refuse_for_good(call)
             return
@@ -251,33 +255,33 @@
                 return
             if reply is Reply.WAIT:
                 break
-        self.schedule(WAIT_FOR_ROOM_S, lambda: self._try(call))
+        self.schedule(RETRY_DELAY_S, lambda: self._try(call))
 
     def _start(self, target, call):
         call.tries += 1
         self._running[target][call.call_id] = call
         if call.fingerprint == POISON:
             delay_s = self._generator.uniform(0.2, 1.0)
-            outcome = self._crash_under
+            finish = self._crash_from_poison
         else:
             delay_s = self._generator.exponential(MEAN_SERVICE_S)
-            outcome = self._succeed
-        tried = call.tries
-        self.schedule(delay_s, lambda: outcome(target, call, tried))
+            finish = self._succeed
+        try_number = call.tries
+        self.schedule(delay_s, lambda: finish(target, call, try_number))
 
-    def _succeed(self, target, call, tried):
-        if call.tries == tried and call.call_id in self._running[target]:
+    def _succeed(self, target, call, try_number):
+        if call.tries == try_number and call.call_id in self._running[target]:
             del self._running[target][call.call_id]
             self._guard.end(target, call)
 
-    def _crash_under(self, target, call, tried):
-        if call.tries == tried and call.call_id in self._running[target]:
+    def _crash_from_poison(self, target, call, try_number):
+        if call.tries == try_number and call.call_id in self._running[target]:
             self.counts['lost_to_poison'] += 1
             self._crash(target)
 
-    def _crash_any(self):
+    def _crash_random_target(self):
         self._crash(int(self._generator.integers(TARGETS)))
-        self.schedule(self._background_gap_s(), self._crash_any)
+        self.schedule(self._background_gap_s(), self._crash_random_target)
 
     def _background_gap_s(self):
         return self._generator.exponential(1 / BACKGROUND_CRASHES_PER_S)
@@ -291,23 +295,23 @@
             self._retry_or_fail(call)
 
     def _retry_or_fail(self, call):
-        if call.tries < MOST_TRIES:
+        if call.tries < MAX_TRIES:
             self.schedule(0.0, lambda: self._try(call))
         elif call.fingerprint == POISON:
-            self.schedule(RESEND_S, self._send_poison)
+            self.schedule(POISON_RESEND_DELAY_S, self._send_poison)
         else:
             self.counts['healthy_failed'] += 1
 
     def _refuse_for_good(self, call):
         if call.fingerprint == POISON:
             self.counts['poison_refused'] += 1
-            self.schedule(RESEND_S, self._send_poison)
+            self.schedule(POISON_RESEND_DELAY_S, self._send_poison)
         else:
             self.counts['healthy_refused'] += 1
 
 
 def measure(**case):
-    """Return the counts of each seed's run."""
+    """Return the counts of one run for each seed."""
     return [Fleet(seed=seed, **case).run() for seed in SEEDS]
 
 
@@ -316,9 +320,9 @@
     runs = measure(guard_class=guard_class, **options)
     lost = [counts['lost_to_poison'] for counts in runs]
     total = sum(runs, collections.Counter())
-    described = ' '.join(f'{key}={value}' for key, value in options.items())
+    options_text = ' '.join(f'{key}={value}' for key, value in options.items())
     print(
-        f'guard={guard_class.__name__} {described}'
+        f'guard={guard_class.__name__} {options_text}'
         f' seeds={SEEDS.start}-{SEEDS.stop - 1}'
         f' lost_mean={numpy.mean(lost):.1f} lost_max={max(lost)}'
         f' healthy={total["healthy"]}'
--- a/tools/measure/data_centre_change.py
+++ b/tools/measure/data_centre_change.py
@@ -1,11 +1,11 @@
-"""Measure service while a data centre leaves and returns with cold targets.
+"""Measure service while a data centre stops and returns with cold targets.
 
-One of three data centres is taken out (planned) or dies (abrupt) and comes
-back cold. Prints one line of key=value pairs for each case, policy and kind
-of work. Run it as ``python -m tools.measure.data_centre_change``.
+One of three data centres is taken out (planned) or fails (abrupt) and returns
+with cold targets. Prints one line of key=value pairs for each case, policy
+and kind of call. Run it as ``python -m tools.measure.data_centre_change``.
 
-Both policies see the same list of targets, late, and the same refusals of
-the targets themselves. A caller whose call was refused does not come back.
+All policies get the same delayed list of targets and the same refusals by
+targets. Callers don't repeat a refused call.
 """
 
 from savoryyoke.routing import events
@@ -16,7 +16,7 @@
 ENTRIES = 8
 TARGETS = 12
 DATA_CENTRES = 3
-CHANGED = 1
+CHANGED_DATA_CENTRE = 1
 LOADS_PER_S = (18.0, 24.0)
 LEAVES_AT_S = 60.0
 RETURNS_AT_S = 120.0
@@ -27,29 +27,31 @@
 CONNECTION_LOSS_S = 1.0
 CONNECT_DELAY_S = 0.5
 POLICIES = {
-    'routed': routing_policies.Routed,
+    'routed': routing_policies.RouterPolicy,
     'round_robin': routing_policies.RoundRobin,
     'least_reported': routing_policies.LeastReported,
 }
 
 
-class Change:
-    """Schedule the leaving and the return of one data centre."""
+class DataCentreChange:
+    """Schedule the stop and the return of one data centre."""
 
     def __init__(self, *, world):
         self._world = world
         self._targets = [
-            target for target in world.targets if target.data_centre == CHANGED
+            target
+            for target in world.targets
+            if target.data_centre == CHANGED_DATA_CENTRE
         ]
         self._numbers = [target.number for target in self._targets]
-        self._left = [
+        self._remaining_numbers = [
             target.number
             for target in world.targets
-            if target.data_centre != CHANGED
+            if target.data_centre != CHANGED_DATA_CENTRE
         ]
 
     def schedule_planned(self):
-        """Let operators take the data centre out and bring it back."""
+        """Schedule a removal and a return by the operators."""
         world = self._world
         world.schedule(LEAVES_AT_S, self._set_leaving)
         world.schedule(RETURNS_AT_S, self._return)
@@ -60,25 +62,30 @@
             ):
                 delay_s = CONFIGURATION_DELAY_S * world.generator.random()
                 world.schedule(
-                    at_s + delay_s, policy.on_data_centre, CHANGED, state
+                    at_s + delay_s,
+                    policy.on_data_centre,
+                    CHANGED_DATA_CENTRE,
+                    state,
                 )
         self._schedule_lists()
 
     def schedule_abrupt(self):
-        """Let the data centre die and start again."""
+        """Schedule a failure and a restart of the data centre."""
         self._world.schedule(LEAVES_AT_S, self._fail)
         self._world.schedule(RETURNS_AT_S, self._return)
         self._schedule_lists()
 
     def _schedule_lists(self):
         world = self._world
-        everything = self._numbers + self._left
+        all_numbers = self._numbers + self._remaining_numbers
         for policy in world.policies:
             for at_s, numbers in (
-                (LEAVES_AT_S, self._left),
-                (RETURNS_AT_S, everything),
+                (LEAVES_AT_S, self._remaining_numbers),
+                (RETURNS_AT_S, all_numbers),
             ):
-                world.schedule(at_s + LIST_LAG_S, policy.on_listed, numbers)
+                world.schedule(
+                    at_s + LIST_LAG_S, policy.on_target_list, numbers
+                )
 
     def _set_leaving(self):
         for target in self._targets:
@@ -86,8 +93,8 @@
 
     def _fail(self):
         for target in self._targets:
-            cut = target.fail()
-            for call in cut:
+            interrupted_calls = target.fail()
+            for call in interrupted_calls:
                 self._world.schedule(
                     CONNECTION_LOSS_S, self._resend, call, target.number
                 )
@@ -99,7 +106,7 @@
 
     def _resend(self, call, number):
         call.first_token_s = None
-        self._world.policies[call.entry].on_cut(call, number)
+        self._world.policies[call.entry].on_interrupted(call, number)
         self._world.retry(call, number)
 
     def _return(self):
@@ -113,7 +120,7 @@
 
 
 def measure(*, planned, policy, calls_per_s, seed=SEED):
-    """Run a change under a policy; return the world after it."""
+    """Simulate a change under a policy; return the world after it."""
     world = traffic.make_world(
         policy=policy,
         entries=ENTRIES,
@@ -130,7 +137,7 @@
         entries=ENTRIES,
         seed=seed,
     )
-    change = Change(world=world)
+    change = DataCentreChange(world=world)
     if planned:
         change.schedule_planned()
     else:
@@ -140,22 +147,25 @@
 
 
 def count_outcomes(calls, *, kind, deadline_s):
-    """Return the measured values of one kind of work by name."""
-    chosen = [call for call in calls if call.kind == kind]
-    answered = [call for call in chosen if call.outcome == 'answered']
+    """Return the counts of one kind of call by name.
+
+    ``deadline_s`` is the time after which a first token is late.
+    """
+    calls_of_kind = [call for call in calls if call.kind == kind]
+    answered = [call for call in calls_of_kind if call.outcome == 'answered']
     late = sum(call.first_token_s > deadline_s for call in answered)
-    refused = sum(call.outcome == 'refused' for call in chosen)
+    refused = sum(call.outcome == 'refused' for call in calls_of_kind)
     return {
-        'calls': len(chosen),
+        'calls': len(calls_of_kind),
         'answered': len(answered),
         'refused': refused,
         'late': late,
-        'open': len(chosen) - len(answered) - refused,
+        'open': len(calls_of_kind) - len(answered) - refused,
     }
 
 
 def main():
-    """Measure every case, policy and kind of work."""
+    """Measure every case, policy and kind of call."""
     for calls_per_s in LOADS_PER_S:
         for planned in (True, False):
             for name, policy in POLICIES.items():
@@ -169,22 +179,22 @@
                 )
 
 
-def count_tries_at_left(world):
-    """Return the tries sent to the data centre 5 s after it left."""
+def count_late_tries(world):
+    """Return the tries sent to the data centre over 5 s after its stop."""
     return sum(
         LEAVES_AT_S + GRACE_S < at_s < RETURNS_AT_S
-        and world.targets[number].data_centre == CHANGED
+        and world.targets[number].data_centre == CHANGED_DATA_CENTRE
         for at_s, number in world.deliveries
     )
 
 
 def _print_case(world, *, prefix):
-    print(f'{prefix} tries_after_5_s={count_tries_at_left(world)}')
-    during = [
+    print(f'{prefix} tries_after_5_s={count_late_tries(world)}')
+    calls = [
         call for call in world.calls if call.arrived_s >= LEAVES_AT_S - 20.0
     ]
     for kind, _, _, deadline_s in traffic.KINDS:
-        values = count_outcomes(during, kind=kind, deadline_s=deadline_s)
+        values = count_outcomes(calls, kind=kind, deadline_s=deadline_s)
         text = ' '.join(f'{key}={value}' for key, value in values.items())
         print(f'{prefix} kind={kind} {text}', flush=True)
 
--- a/tools/measure/expert_maps.py
+++ b/tools/measure/expert_maps.py
@@ -1,9 +1,9 @@
-"""Measure map planning against naive versions under drifting loads.
+"""Compare ways to plan expert maps under loads that change.
 
-Prints key=value lines. A group of 64 ranks serves 64 experts a layer from 128
-slots. Loads are reported each second with a delay and with noise; a change
-takes the time to load its weights, during which steps are slower. The ratio is
-the time of a step over that of perfectly even load.
+Prints key=value lines. A group of 64 ranks serves 64 experts per layer from
+128 slots. Loads are reported each second with a delay and with noise. A change
+takes as long as loading its weights, and steps are slower meanwhile. The ratio
+is the time of a step divided by its time under perfectly even load.
 """
 
 import argparse
@@ -21,10 +21,10 @@
 
 RANKS = 64
 EXPERTS = 64
-SLOTS = 2
+SLOTS_PER_RANK = 2
 LAYERS = 8
-TOKENS = 64 * 64
-SECONDS = 900
+TOKENS_PER_LAYER = 64 * 64
+DURATION_S = 900
 REPORT_DELAY_S = 2
 NOISE_SIGMA = 0.1
 TRIGGER_RATIO = 1.05
@@ -32,14 +32,16 @@
 
 
 def make_even_start():
-    """Return the map on which every group starts."""
+    """Return the initial map of a group."""
     return maps.make_even_map(
-        layers=LAYERS, ranks=RANKS, slots=SLOTS, experts_count=EXPERTS
+        layers=LAYERS, ranks=RANKS, slots=SLOTS_PER_RANK, experts_count=EXPERTS
     )
 
 
 def _normalize(popularity):
-    return popularity / popularity.sum(axis=1, keepdims=True) * TOKENS
+    return (
+        popularity / popularity.sum(axis=1, keepdims=True) * TOKENS_PER_LAYER
+    )
 
 
 def _make_popularity(generator):
@@ -47,46 +49,54 @@
 
 
 def drift_slowly(generator):
-    """Yield loads that turn from one popularity to another and back."""
-    first, second = (_make_popularity(generator) for _ in range(2))
-    for second_s in range(SECONDS):
-        share = 0.5 - 0.5 * numpy.cos(2 * numpy.pi * second_s / SECONDS)
-        yield _normalize((1 - share) * first + share * second)
+    """Yield loads that move from one popularity to another and back."""
+    popularity, changed_popularity = (
+        _make_popularity(generator) for _ in range(2)
+    )
+    for now_s in range(DURATION_S):
+        share = 0.5 - 0.5 * numpy.cos(2 * numpy.pi * now_s / DURATION_S)
+        yield _normalize((1 - share) * popularity + share * changed_popularity)
 
 
 def jump(generator):
-    """Yield loads that change all at once, at a third of the time."""
-    first, second = (_make_popularity(generator) for _ in range(2))
-    for second_s in range(SECONDS):
-        yield _normalize(first if second_s < SECONDS // 3 else second)
+    """Yield loads that change at once after a third of the duration."""
+    popularity, changed_popularity = (
+        _make_popularity(generator) for _ in range(2)
+    )
+    for now_s in range(DURATION_S):
+        yield _normalize(
+            popularity if now_s < DURATION_S // 3 else changed_popularity
+        )
 
 
 def burst(generator):
-    """Yield loads in which a few experts grow hot for 60 s, twice."""
-    first = _make_popularity(generator)
-    hot = first.copy()
-    hot[:, generator.choice(EXPERTS, 3, replace=False)] *= 4
-    for second_s in range(SECONDS):
-        in_burst = any(0 <= second_s - start < 60 for start in (300, 600))
-        yield _normalize(hot if in_burst else first)
+    """Yield loads in which three experts get 4 times the load for 60 s."""
+    popularity = _make_popularity(generator)
+    burst_popularity = popularity.copy()
+    burst_popularity[:, generator.choice(EXPERTS, 3, replace=False)] *= 4
+    for now_s in range(DURATION_S):
+        in_burst = any(0 <= now_s - start < 60 for start in (300, 600))
+        yield _normalize(burst_popularity if in_burst else popularity)
 
 
 def exchange(generator):
-    """Yield loads in which two experts trade places every 20 s."""
-    first = _make_popularity(generator)
-    second = first.copy()
-    hottest = first.sum(axis=0).argmax()
-    coldest = first.sum(axis=0).argmin()
-    second[:, [hottest, coldest]] = first[:, [coldest, hottest]]
-    for second_s in range(SECONDS):
-        yield _normalize(first if second_s // 20 % 2 else second)
+    """Yield loads in which two experts swap their loads every 20 s."""
+    popularity = _make_popularity(generator)
+    changed_popularity = popularity.copy()
+    hottest = popularity.sum(axis=0).argmax()
+    coldest = popularity.sum(axis=0).argmin()
+    changed_popularity[:, [hottest, coldest]] = popularity[
+        :, [coldest, hottest]
+    ]
+    for now_s in range(DURATION_S):
+        yield _normalize(popularity if now_s // 20 % 2 else changed_popularity)
 
 
 DRIFTS = (drift_slowly, jump, burst, exchange)
 
 
-def place_anew(loads):
-    """Return a map made from loads alone, as if no weight were in place."""
+def build_map_from_loads(loads):
+    """Return a map built from loads only, ignoring the current map."""
     layers = [_place_layer(layer_loads) for layer_loads in loads]
     return maps.ExpertMap(
         experts=numpy.stack(layers), experts_count=loads.shape[1]
@@ -95,17 +105,19 @@
 
 def _place_layer(loads):
     counts = numpy.ones(len(loads), dtype=int)
-    for _ in range(RANKS * SLOTS - len(loads)):
+    for _ in range(RANKS * SLOTS_PER_RANK - len(loads)):
         counts[(loads / counts).argmax()] += 1
     replicas = numpy.repeat(numpy.arange(len(loads)), counts)
     shares = (loads / counts)[replicas]
     rows = [[] for _ in range(RANKS)]
     times = numpy.zeros(RANKS)
-    for place in numpy.argsort(-shares, kind='stable'):
-        open_ranks = [rank for rank in range(RANKS) if len(rows[rank]) < SLOTS]
-        rank = min(open_ranks, key=lambda each: (times[each], each))
-        rows[rank].append(replicas[place])
-        times[rank] += shares[place]
+    for replica_index in numpy.argsort(-shares, kind='stable'):
+        ranks_with_room = [
+            rank for rank in range(RANKS) if len(rows[rank]) < SLOTS_PER_RANK
+        ]
+        rank = min(ranks_with_room, key=lambda rank: (times[rank], rank))
+        rows[rank].append(replicas[replica_index])
+        times[rank] += shares[replica_index]
     return numpy.array(rows)
 
 
@@ -113,72 +125,81 @@
     """Never change the map."""
 
     def __init__(self, *, start):
-        """Ignore the start."""
+        """Ignore the initial map."""
 
-    def report(self, loads, present, now_s, idle):
+    def report(self, loads, current_map, now_s, no_change_pending):
         """Return the map to change to, or None."""
 
 
 class AnewOnEveryReport(StaticMap):
-    """Place all experts anew whenever no change is under way."""
+    """Build a new map on each report, unless a change is in progress."""
 
-    def report(self, loads, present, now_s, idle):
+    def report(self, loads, current_map, now_s, no_change_pending):
         """Return the map to change to, or None."""
-        return place_anew(loads) if idle else None
+        return build_map_from_loads(loads) if no_change_pending else None
 
 
 class AnewAboveRatio(StaticMap):
-    """Place all experts anew if the ratio is high, whatever it costs."""
+    """Build a new map if the ratio is high, whatever the change costs."""
 
-    def report(self, loads, present, now_s, idle):
+    def report(self, loads, current_map, now_s, no_change_pending):
         """Return the map to change to, or None."""
         speeds = numpy.ones(RANKS)
         bound = maps.find_lower_bound(loads, speeds)
-        ratio = maps.find_step_time(present, loads, speeds) / bound
-        return place_anew(loads) if idle and ratio > TRIGGER_RATIO else None
+        ratio = maps.find_step_time(current_map, loads, speeds) / bound
+        return (
+            build_map_from_loads(loads)
+            if no_change_pending and ratio > TRIGGER_RATIO
+            else None
+        )
 
 
 class GreedyWithoutCosts(AnewAboveRatio):
-    """Improve the present map as far as possible, whatever it costs."""
+    """Improve the map as far as possible, whatever the change costs."""
 
-    def report(self, loads, present, now_s, idle):
+    def report(self, loads, current_map, now_s, no_change_pending):
         """Return the map to change to, or None."""
-        if super().report(loads, present, now_s, idle) is None:
+        if (
+            super().report(loads, current_map, now_s, no_change_pending)
+            is None
+        ):
             return None
-        free = dataclasses.replace(
+        zero_costs = dataclasses.replace(
             COSTS, slowdown=0.0, loading_max_s=1e9, rank_moves_max=10**6
         )
-        plan = search.run_search(search.search_map(present, loads, costs=free))
+        plan = search.run_search(
+            search.search_map(current_map, loads, costs=zero_costs)
+        )
         return plan.expert_map if plan.moves else None
 
 
 class Planned(StaticMap):
-    """Follow the rebalancer."""
+    """Use the rebalancer of the product."""
 
     def __init__(self, *, start):
-        """Start the rebalancer."""
+        """Create a rebalancer with the initial map."""
         self._rebalancer = rebalancers.Rebalancer(
             expert_map=start, ranks=RANKS
         )
 
-    def report(self, loads, present, now_s, idle):
+    def report(self, loads, current_map, now_s, no_change_pending):
         """Return the map to change to, or None."""
-        if idle:
-            event = events.MapInForce(expert_map=present)
+        if no_change_pending:
+            event = events.MapInForce(expert_map=current_map)
             self._rebalancer.apply(event, now_s=now_s)
-        found = self._rebalancer.apply(
+        planning_decisions = self._rebalancer.apply(
             events.LoadReported(loads=loads), now_s=now_s
         )
-        for decision in found:
+        for decision in planning_decisions:
             plan = search.run_search(
                 search.search_map(
                     decision.present, decision.loads, costs=COSTS
                 )
             )
-            (judged,) = self._rebalancer.apply(
+            (plan_decision,) = self._rebalancer.apply(
                 events.PlanFound(plan=plan), now_s=now_s
             )
-            if isinstance(judged, decisions.ProposeMap):
+            if isinstance(plan_decision, decisions.ProposeMap):
                 return plan.expert_map
         return None
 
@@ -194,7 +215,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Result:
-    """Collect what one policy did under one drift."""
+    """Hold the results of one policy under one course of the loads."""
 
     ratios: list
     mean_time: float = 0.0
@@ -204,35 +225,40 @@
 
 
 def simulate(drift, policy_class, seed):
-    """Return the Result of one run."""
+    """Return the ``Result`` of one run of ``DURATION_S`` seconds."""
     generator = numpy.random.default_rng(seed)
-    history = list(drift(generator))
-    present = make_even_start()
-    policy = policy_class(start=present)
+    loads_by_second = list(drift(generator))
+    current_map = make_even_start()
+    policy = policy_class(start=current_map)
     result = Result(ratios=[])
-    pending, ready_s = None, 0.0
+    pending_map, ready_s = None, 0.0
     speeds = numpy.ones(RANKS)
     times = []
-    for now_s, loads in enumerate(history):
-        if pending is not None and now_s >= ready_s:
-            present, pending = pending, None
-        seen = history[max(0, now_s - REPORT_DELAY_S)]
-        noise = generator.lognormal(0.0, NOISE_SIGMA, seen.shape)
-        idle = pending is None
-        wanted = policy.report(_normalize(seen * noise), present, now_s, idle)
-        if wanted is not None and idle:
-            moves = int(maps.count_moves(present, wanted).sum())
-            pending, ready_s = wanted, now_s + COSTS.find_loading_s(moves)
+    for now_s, loads in enumerate(loads_by_second):
+        if pending_map is not None and now_s >= ready_s:
+            current_map, pending_map = pending_map, None
+        reported_loads = loads_by_second[max(0, now_s - REPORT_DELAY_S)]
+        noise = generator.lognormal(0.0, NOISE_SIGMA, reported_loads.shape)
+        no_change_pending = pending_map is None
+        new_map = policy.report(
+            _normalize(reported_loads * noise),
+            current_map,
+            now_s,
+            no_change_pending,
+        )
+        if new_map is not None and no_change_pending:
+            moves = int(maps.count_moves(current_map, new_map).sum())
+            pending_map, ready_s = new_map, now_s + COSTS.find_loading_s(moves)
             result.moves += moves
             result.changes += 1
             result.loading_s += min(
-                COSTS.find_loading_s(moves), SECONDS - now_s
+                COSTS.find_loading_s(moves), DURATION_S - now_s
             )
-        ratio = maps.find_step_time(present, loads, speeds)
+        ratio = maps.find_step_time(current_map, loads, speeds)
         ratio /= maps.find_lower_bound(loads, speeds)
         result.ratios.append(ratio)
-        slower = COSTS.slowdown if pending is not None else 0.0
-        times.append(ratio * (1 + slower))
+        slowdown_share = COSTS.slowdown if pending_map is not None else 0.0
+        times.append(ratio * (1 + slowdown_share))
     result.mean_time = statistics.fmean(times)
     return result
 
@@ -250,8 +276,8 @@
         f'ratio_p50={p50:.3f} ratio_p95={p95:.3f} ratio_p99={p99:.3f} '
         f'ratio_with_loading_mean={mean_time:.3f} '
         f'moved_gb={moved * COSTS.weight_bytes / 1e9:.1f} '
-        f'loading_s={sum(r.loading_s for r in results) / runs:.1f} '
-        f'changes={sum(r.changes for r in results) / runs:.1f} '
+        f'loading_s={sum(result.loading_s for result in results) / runs:.1f} '
+        f'changes={sum(result.changes for result in results) / runs:.1f} '
         f'lower_bound=1.000',
         flush=True,
     )
@@ -259,17 +285,17 @@
 
 def _measure_search(layers):
     generator = numpy.random.default_rng(0)
-    present = maps.make_even_map(
-        layers=layers, ranks=RANKS, slots=SLOTS, experts_count=EXPERTS
+    current_map = maps.make_even_map(
+        layers=layers, ranks=RANKS, slots=SLOTS_PER_RANK, experts_count=EXPERTS
     )
     loads = _normalize(generator.gamma(2.0, 1.0, (layers, EXPERTS)))
     slices_s = []
-    found = search.search_map(present, loads)
+    search_slices = search.search_map(current_map, loads)
     plan = None
     while plan is None:
         start_s = time.perf_counter()
         try:
-            next(found)
+            next(search_slices)
         except StopIteration as stop:
             plan = stop.value
         slices_s.append(time.perf_counter() - start_s)
--- a/tools/measure/fairness.py
+++ b/tools/measure/fairness.py
@@ -1,10 +1,9 @@
-"""Measure how teams share one target's queue.
+"""Measure how teams share the queue of one target.
 
-Nine small teams send steadily while a large team sends a burst; fair
-sharing is compared with service in order of arrival. Then three teams
-with weights keep the target busy and their shares are compared with an
-ideal fluid server. Last, the time that one event takes with many teams
-is measured.
+Nine small teams send steadily while a large team sends a burst; fair queueing
+is compared with service in order of arrival. Then three teams with weights
+keep the target busy, and their shares are compared with those of an ideal
+fluid server. Last, the processor time per event is measured for many teams.
 """
 
 import heapq
@@ -29,11 +28,11 @@
 DEADLINE_S = 120.0
 QUEUE_LIMIT = 256
 SEEDS = range(5)
-MANY_TEAMS = 2200
+WAITING_TEAMS = 2200
 
 
 class ArrivalOrderQueue(queues.FairQueue):
-    """Serve in order of arrival."""
+    """Return calls in order of arrival."""
 
     def pop(self):
         """Remove and return the oldest call; None if empty."""
@@ -43,10 +42,10 @@
 
 
 class Target:
-    """Simulate one warm target by virtual time."""
+    """Simulate one warm target in virtual time."""
 
     def __init__(self, *, queue_class):
-        """Start with the given queue."""
+        """Create a target with a queue of the given class."""
         limits = conf.AdmissionLimits(
             max_concurrency=CONCURRENCY,
             initial_concurrency=CONCURRENCY,
@@ -62,7 +61,7 @@
         self.refused_by_team = {}
 
     def offer(self, *, at_s, team, weight=1.0, cost=1.0):
-        """Schedule an arrival."""
+        """Schedule the arrival of a call at a virtual time."""
         self._sequence += 1
         call = events.Arrived(
             call_id=f'{self._sequence}',
@@ -75,13 +74,13 @@
         heapq.heappush(self._pending, (at_s, self._sequence, call))
 
     def run(self, *, until_s):
-        """Handle all events up to a time."""
+        """Process all events up to a virtual time."""
         while self._pending and self._pending[0][0] <= until_s:
             now_s, _, event = heapq.heappop(self._pending)
             for decision in self._admission.apply(event, now_s=now_s):
-                self._carry_out(decision, now_s)
+                self._execute(decision, now_s)
 
-    def _carry_out(self, decision, now_s):
+    def _execute(self, decision, now_s):
         arrived_s, call = self._calls_by_id[decision.call_id]
         if isinstance(decision, decisions.Refuse):
             refused = self.refused_by_team.get(call.team, 0)
@@ -102,10 +101,12 @@
 
 
 def measure_burst(*, queue_class, burst_calls, seed):
-    """Return the waits and refusals of the small teams."""
+    """Return the waits in seconds and the refusals of the small teams."""
     generator = numpy.random.default_rng(seed)
     target = Target(queue_class=queue_class)
-    rates = {f'small-{n}': SMALL_CALLS_PER_S for n in range(SMALL_TEAMS)}
+    rates = {
+        f'small-{number}': SMALL_CALLS_PER_S for number in range(SMALL_TEAMS)
+    }
     rates['large'] = LARGE_CALLS_PER_S
     for team, rate in rates.items():
         count = int(END_S * rate)
@@ -114,14 +115,18 @@
     for _ in range(burst_calls):
         target.offer(at_s=BURST_S, team='large')
     target.run(until_s=2 * END_S)
-    small = [team for team in rates if team != 'large']
-    waits_s = [w for team in small for w in target.waits_s_by_team[team]]
-    refused = sum(target.refused_by_team.get(team, 0) for team in small)
+    small_teams = [team for team in rates if team != 'large']
+    waits_s = [
+        wait_s
+        for team in small_teams
+        for wait_s in target.waits_s_by_team[team]
+    ]
+    refused = sum(target.refused_by_team.get(team, 0) for team in small_teams)
     return waits_s, refused
 
 
 def report_burst(*, queue_class, burst_calls):
-    """Print the small teams' waits of all seeds."""
+    """Print the waits of the small teams over all seeds."""
     waits_s, refused = [], 0
     for seed in SEEDS:
         result = measure_burst(
@@ -153,39 +158,47 @@
     total = sum(target.cost_by_team.values())
     for team, weight in weights.items():
         share = target.cost_by_team[team] / total
-        fluid = weight / sum(weights.values())
+        fluid_share = weight / sum(weights.values())
         print(
             f'team={team} weight={weight} seed={SEEDS.start}'
-            f' share={share:.3f} fluid_share={fluid:.3f}'
+            f' share={share:.3f} fluid_share={fluid_share:.3f}'
         )
 
 
 def report_event_time():
     """Print the processor time of an event with many waiting teams."""
     limits = conf.AdmissionLimits(
-        max_concurrency=CONCURRENCY, queue_limit=2 * MANY_TEAMS
+        max_concurrency=CONCURRENCY, queue_limit=2 * WAITING_TEAMS
     )
     admission = aggregates.Admission(limits=limits)
     running = []
     started_s = time.process_time()
-    for number in range(MANY_TEAMS):
+    for number in range(WAITING_TEAMS):
         call = events.Arrived(
             call_id=f'{number}', team=f'team-{number}', remaining_s=1e6
         )
-        made = admission.apply(call, now_s=0.0)
-        running += [d for d in made if isinstance(d, decisions.Start)]
+        made_decisions = admission.apply(call, now_s=0.0)
+        running += [
+            decision
+            for decision in made_decisions
+            if isinstance(decision, decisions.Start)
+        ]
     arrived_s = time.process_time()
-    for number in range(MANY_TEAMS):
+    for number in range(WAITING_TEAMS):
         finished = events.Finished(
             call_id=running[number].call_id, succeeded=True, service_time_s=1.0
         )
-        made = admission.apply(finished, now_s=1.0)
-        running += [d for d in made if isinstance(d, decisions.Start)]
+        made_decisions = admission.apply(finished, now_s=1.0)
+        running += [
+            decision
+            for decision in made_decisions
+            if isinstance(decision, decisions.Start)
+        ]
     finished_s = time.process_time()
-    arrival_us = (arrived_s - started_s) / MANY_TEAMS * 1e6
-    finish_us = (finished_s - arrived_s) / MANY_TEAMS * 1e6
+    arrival_us = (arrived_s - started_s) / WAITING_TEAMS * 1e6
+    finish_us = (finished_s - arrived_s) / WAITING_TEAMS * 1e6
     print(
-        f'teams={MANY_TEAMS} arrival_cpu_us={arrival_us:.0f}'
+        f'teams={WAITING_TEAMS} arrival_cpu_us={arrival_us:.0f}'
         f' finish_cpu_us={finish_us:.0f}'
     )
 
--- a/tools/measure/path.py
+++ b/tools/measure/path.py
@@ -1,7 +1,8 @@
-"""Measure the price of the path, beside a direct call to the same engine.
+"""Measure the overhead of calls through the load balancer.
 
-One entry, one target process and one engine stand-in run as processes; the
-load comes from this process. Prints key=value lines.
+Calls through one entry and one target are compared with direct calls to the
+same fake engine. All three run as processes; this process sends the calls.
+Prints key=value lines.
 """
 
 import dataclasses
@@ -33,7 +34,7 @@
 WARM_UP_CALLS = 200
 SETTLE_S = 1.0
 HEADERS = [(b'savoryyoke-team', b'members'), (b'host', b'x')]
-TOP = 10
+PROFILE_ROWS = 10
 
 BASE_TEXT = fleets.BASE_TEXT.replace(
     'initial_concurrency: 4', 'initial_concurrency: 512'
@@ -41,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Stream:
+class StreamTimes:
     """Hold the times of one streamed answer, in seconds."""
 
     first_s: float
@@ -63,15 +64,18 @@
     )
 
 
-async def stream(pool, address, *, prompt, tokens):
-    """Run one streamed completion and return its times."""
+async def run_stream(pool, address, *, prompt, tokens):
+    """Run one streamed completion and return its times.
+
+    Raise ``RuntimeError`` if the answer is not complete.
+    """
     body = json.dumps(
         {'prompt': prompt, 'max_tokens': tokens, 'stream': True}
     ).encode()
     headers = [*HEADERS, (b'content-length', str(len(body)).encode())]
     started_s = time.perf_counter()
     arrivals_s = []
-    seen = b''
+    received = b''
     async with pool.stream(
         'POST',
         f'http://{address}/v1/completions',
@@ -80,51 +84,58 @@
     ) as response:
         async for part in response.aiter_stream():
             arrivals_s.append(time.perf_counter())
-            seen += part
-    if response.status != 200 or not seen.endswith(b'data: [DONE]\n\n'):
-        raise RuntimeError(f'{response.status} {seen[-200:]!r}')
-    return Stream(
+            received += part
+    if response.status != 200 or not received.endswith(b'data: [DONE]\n\n'):
+        raise RuntimeError(f'{response.status} {received[-200:]!r}')
+    return StreamTimes(
         first_s=arrivals_s[0] - started_s,
         gaps_s=tuple(numpy.diff(arrivals_s)),
-        tokens=seen.count(b'token_index'),
+        tokens=received.count(b'token_index'),
     )
 
 
-async def stream_many(address, *, count, tokens):
-    """Run streams side by side and return their times."""
-    found = []
+async def run_streams(address, *, count, tokens):
+    """Run streams in parallel and return their times."""
+    times = []
 
     async def run_one(number):
-        found.append(
-            await stream(pool, address, prompt=f'p{number}', tokens=tokens)
+        times.append(
+            await run_stream(pool, address, prompt=f'p{number}', tokens=tokens)
         )
 
     async with httpcore.AsyncConnectionPool(max_connections=1000) as pool:
         async with anyio.create_task_group() as tasks:
             for number in range(count):
                 tasks.start_soon(run_one, number)
-    return found
+    return times
 
 
 async def measure_first_tokens(addresses_by_path):
-    """Alternate between the paths, so that both see the same machine."""
-    found = {path: [] for path in addresses_by_path}
+    """Return the times to the first token in seconds, by path.
+
+    Calls alternate between the paths, so that other load on the machine
+    affects both alike.
+    """
+    times_by_path_s = {path: [] for path in addresses_by_path}
     async with httpcore.AsyncConnectionPool() as pool:
         for number in range(FIRST_TOKEN_CALLS):
             for path, address in addresses_by_path.items():
-                made = await stream(
+                times = await run_stream(
                     pool, address, prompt=f'f{number}', tokens=2
                 )
-                found[path].append(made.first_s)
-    return found
+                times_by_path_s[path].append(times.first_s)
+    return times_by_path_s
 
 
 async def look_up(address):
-    """Run lookups from several callers; return the time it took."""
-    left = iter(range(LOOKUPS))
+    """Run lookups from several callers; return the elapsed seconds.
+
+    Raise ``RuntimeError`` if a lookup is not answered with status 200.
+    """
+    remaining = iter(range(LOOKUPS))
 
     async def run_caller():
-        for _ in left:
+        for _ in remaining:
             answer = await pool.request(
                 'GET', f'http://{address}/v1/balance', headers=HEADERS
             )
@@ -141,12 +152,14 @@
 
 def quantiles_ms(values_s):
     """Return the 50th, 95th and 99th percentile in milliseconds."""
-    found = numpy.percentile(values_s, (50, 95, 99)) * 1000
-    return dict(zip(('p50_ms', 'p95_ms', 'p99_ms'), map(float, found)))
+    percentiles_ms = numpy.percentile(values_s, (50, 95, 99)) * 1000
+    return dict(
+        zip(('p50_ms', 'p95_ms', 'p99_ms'), map(float, percentiles_ms))
+    )
 
 
 class PathMeasure:
-    """Run the measures against one fleet."""
+    """Run the measurements with one fleet."""
 
     def __init__(self, *, fleet):
         self._fleet = fleet
@@ -159,7 +172,7 @@
         return self._fleet.processes_by_name[name].pid
 
     def warm_up(self):
-        """Send what makes the target count as warm."""
+        """Send enough calls for the target to count as warm."""
         self._fleet.set_backend_faults(
             ENGINE,
             token_interval_s=TOKEN_INTERVAL_S,
@@ -167,13 +180,15 @@
         )
         address = self._addresses_by_path['through']
         for _ in range(WARM_UP_CALLS):
-            anyio.run(_stream_one, address)
+            anyio.run(_run_warm_up_stream, address)
 
     def measure_first_token(self):
         """Report the time to the first token on both paths."""
-        found = anyio.run(measure_first_tokens, self._addresses_by_path)
+        times_by_path_s = anyio.run(
+            measure_first_tokens, self._addresses_by_path
+        )
         medians = {}
-        for path, values_s in found.items():
+        for path, values_s in times_by_path_s.items():
             quantiles = quantiles_ms(values_s)
             medians[path] = quantiles
             report(measure='first-token', path=path, **quantiles)
@@ -184,17 +199,17 @@
         report(measure='first-token', calls=FIRST_TOKEN_CALLS, **added)
 
     def measure_streams(self):
-        """Report gaps between tokens and the processor time of tokens."""
+        """Report the gaps between tokens and the tokens per core."""
         for path, address in self._addresses_by_path.items():
             before = {
                 name: processes.read_processor_s(self._pid(name))
                 for name in (ENTRY, ENGINE)
             }
             started_s = time.perf_counter()
-            found = anyio.run(_stream_side_by_side, address)
+            streams = anyio.run(_run_parallel_streams, address)
             elapsed_s = time.perf_counter() - started_s
-            tokens = sum(item.tokens for item in found)
-            gaps_s = [gap for item in found for gap in item.gaps_s]
+            tokens = sum(item.tokens for item in streams)
+            gaps_s = [gap for item in streams for gap in item.gaps_s]
             report(
                 measure='between-tokens',
                 path=path,
@@ -217,7 +232,7 @@
             )
 
     def measure_memory(self):
-        """Report the memory that open streams take."""
+        """Report the memory per open stream."""
         address = self._addresses_by_path['through']
         names = (ENTRY, ENGINE)
         before = {
@@ -225,7 +240,7 @@
             for name in names
         }
         during = anyio.run(
-            _hold_open,
+            _read_during_streams,
             address,
             lambda: {
                 name: processes.read_memory_bytes(self._pid(name))
@@ -242,7 +257,7 @@
             )
 
     def measure_lookups(self):
-        """Report lookups a second and for each core of the processes."""
+        """Report lookups per second and per core of each process."""
         names = (ENTRY, APPLICATION)
         before = {
             name: processes.read_processor_s(self._pid(name)) for name in names
@@ -259,36 +274,36 @@
             )
 
 
-async def _stream_one(address):
+async def _run_warm_up_stream(address):
     async with httpcore.AsyncConnectionPool() as pool:
-        return await stream(pool, address, prompt='warm', tokens=4)
+        return await run_stream(pool, address, prompt='warm', tokens=4)
 
 
-async def _stream_side_by_side(address):
-    return await stream_many(address, count=STREAMS, tokens=STREAM_TOKENS)
+async def _run_parallel_streams(address):
+    return await run_streams(address, count=STREAMS, tokens=STREAM_TOKENS)
 
 
-async def _hold_open(address, read):
-    held = {}
+async def _read_during_streams(address, read):
+    readings = {}
 
-    async def look():
+    async def read_after_delay():
         await anyio.sleep(SETTLE_S)
-        held.update(read())
+        readings.update(read())
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(look)
-        await stream_many(address, count=OPEN_STREAMS, tokens=300)
-    return held
+        tasks.start_soon(read_after_delay)
+        await run_streams(address, count=OPEN_STREAMS, tokens=300)
+    return readings
 
 
 def print_profile(path, role):
-    """Print the functions that took most time themselves."""
+    """Print the functions with the most processor time of their own."""
     stats = pstats.Stats(str(path))
     rows = sorted(
         stats.stats.items(), key=lambda item: item[1][2], reverse=True
     )
     total_s = sum(values[2] for values in stats.stats.values())
-    for (file_name, line, function), values in rows[:TOP]:
+    for (file_name, line, function), values in rows[:PROFILE_ROWS]:
         place = f'{pathlib.Path(file_name).name}:{line}:{function}'
         report(
             measure='profile',
@@ -300,7 +315,7 @@
 
 
 def main():
-    """Run all measures."""
+    """Run all measurements, then a profile."""
     places = {
         'entries': fleets.ENTRIES[:1],
         'targets': (
@@ -310,12 +325,12 @@
     }
     for run in range(RUNS):
         report(measure='run', number=run)
-        _measure(places)
+        _measure_run(places)
     with tempfile.TemporaryDirectory() as directory:
-        _profile(places, pathlib.Path(directory))
+        _profile_run(places, pathlib.Path(directory))
 
 
-def _measure(places):
+def _measure_run(places):
     with fleets.Fleet(base_text=BASE_TEXT, **places) as fleet:
         measure = PathMeasure(fleet=fleet)
         measure.warm_up()
@@ -325,13 +340,13 @@
         measure.measure_memory()
 
 
-def _profile(places, directory):
+def _profile_run(places, directory):
     with fleets.Fleet(
         base_text=BASE_TEXT, profile_directory=directory, **places
     ) as fleet:
         measure = PathMeasure(fleet=fleet)
         measure.warm_up()
-        anyio.run(_stream_side_by_side, fleet.addresses_by_name[ENTRY])
+        anyio.run(_run_parallel_streams, fleet.addresses_by_name[ENTRY])
         for name in (ENTRY, ENGINE):
             fleet.processes_by_name[name].terminate()
         for name in (ENTRY, ENGINE):
--- a/tools/measure/processes.py
+++ b/tools/measure/processes.py
@@ -1,4 +1,4 @@
-"""Read what processes have used from the kernel."""
+"""Read the processor time and the memory of processes from the kernel."""
 
 import os
 import pathlib
@@ -13,7 +13,10 @@
 
 
 def read_memory_bytes(pid):
-    """Return the resident memory of a process in bytes."""
+    """Return the resident memory of a process in bytes.
+
+    Raise ``ValueError`` if the kernel reports none.
+    """
     text = pathlib.Path(f'/proc/{pid}/status').read_text()
     for line in text.splitlines():
         if line.startswith('VmRSS:'):
--- a/tools/measure/routing.py
+++ b/tools/measure/routing.py
@@ -1,4 +1,4 @@
-"""Measure routing against naive policies on one seeded load.
+"""Compare routing with simple policies under the same seeded load.
 
 Prints one line of key=value pairs for each fleet and policy, and the cost of
 one decision. Run it as ``python -m tools.measure.routing``.
@@ -21,7 +21,7 @@
 
 SEED = 1
 POLICIES = {
-    'routed': routing_policies.Routed,
+    'routed': routing_policies.RouterPolicy,
     'round_robin': routing_policies.RoundRobin,
     'least_reported': routing_policies.LeastReported,
     'perfect_shortest_queue': routing_policies.PerfectShortestQueue,
@@ -30,7 +30,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fleet:
-    """Describe a fleet and its load."""
+    """Describe a fleet and its load.
+
+    Calls that arrive before ``warm_s`` are not measured.
+    """
 
     entries: int
     targets: int
@@ -77,7 +80,7 @@
 
 
 def measure(fleet, *, policy, seed=SEED, **arguments):
-    """Run a policy on a fleet; return the measured values by name."""
+    """Simulate a policy on a fleet; return the measured values by name."""
     world = traffic.make_world(
         policy=policy,
         entries=fleet.entries,
@@ -101,95 +104,109 @@
 
 
 def summarize(calls, *, world):
-    """Return the measured values of some calls by name."""
-    begun = [call for call in calls if call.first_token_s is not None]
-    firsts_s = [call.first_token_s for call in begun]
-    blocks = sum(len(call.digests) for call in begun)
+    """Return the measured values of the given calls by name."""
+    started_calls = [call for call in calls if call.first_token_s is not None]
+    first_token_times_s = [call.first_token_s for call in started_calls]
+    blocks = sum(len(call.digests) for call in started_calls)
     refused = sum(call.outcome == 'refused' for call in calls)
     tries = sum(call.tries for call in calls)
     return {
         'calls': len(calls),
-        'first_token_p50_s': round(float(np.quantile(firsts_s, 0.5)), 3),
-        'first_token_p95_s': round(float(np.quantile(firsts_s, 0.95)), 3),
-        'first_token_p99_s': round(float(np.quantile(firsts_s, 0.99)), 3),
+        'first_token_p50_s': round(
+            float(np.quantile(first_token_times_s, 0.5)), 3
+        ),
+        'first_token_p95_s': round(
+            float(np.quantile(first_token_times_s, 0.95)), 3
+        ),
+        'first_token_p99_s': round(
+            float(np.quantile(first_token_times_s, 0.99)), 3
+        ),
         'between_tokens_p95_ms': round(
-            1000 * float(np.quantile([c.token_s for c in begun], 0.95)), 1
+            1000
+            * float(
+                np.quantile([call.token_s for call in started_calls], 0.95)
+            ),
+            1,
+        ),
+        'prefix_hits': round(
+            sum(call.cached for call in started_calls) / blocks, 3
         ),
-        'prefix_hits': round(sum(c.cached for c in begun) / blocks, 3),
         'refused': round(refused / len(calls), 4),
         'refused_tries_per_call': round(tries / len(calls), 4),
     }
 
 
 def make_router(*, entries, targets):
-    """Return a router of a fleet, with reports of its targets."""
-    routed = router.Router(
+    """Return a router that has seen all entries and targets."""
+    entry_router = router.Router(
         service='letters',
         entry_id='entry-0',
         data_centre='dc-0',
         generator=np.random.default_rng(SEED),
     )
     peers = {f'entry-{number}': 'dc-0' for number in range(entries)}
-    routed.apply(
+    entry_router.apply(
         events.PeersChanged(data_centres_by_entry_id=peers), now_s=0.0
     )
     for number in range(targets):
-        seen = events.TargetSeen(
+        target_seen = events.TargetSeen(
             target_id=str(number),
             incarnation=1,
             data_centre='dc-0',
             address='',
         )
-        routed.apply(seen, now_s=0.0)
-    return routed
+        entry_router.apply(target_seen, now_s=0.0)
+    return entry_router
 
 
 def measure_costs(*, repeats=20_000):
-    """Return the processor time of queries and events by name."""
+    """Return the processor time of queries and events in us, by name."""
     digests = traffic.make_digests(team=1, conversation=1)
     request = decisions.Request(
         service='letters', prefix_digests=digests, priority=2
     )
-    routed = make_router(entries=8, targets=40)
-    routed.plan_connections()
+    entry_router = make_router(entries=8, targets=40)
+    entry_router.plan_connections()
     for number in range(40):
-        _warm(routed, str(number), digests[:number])
-    large = make_router(entries=350, targets=1300)
+        _fill_cache(entry_router, str(number), digests[:number])
+    large_router = make_router(entries=350, targets=1300)
     return {
-        'decision_us': _time(
-            lambda number: routed.choose(request, 0.1), repeats=repeats
+        'decision_us': _measure_us(
+            lambda number: entry_router.choose(request, 0.1), repeats=repeats
         ),
-        'load_report_us': _time(
-            lambda number: routed.apply(
+        'load_report_us': _measure_us(
+            lambda number: entry_router.apply(
                 _make_report('7', stamp_s=2.0 + number * 1e-4), now_s=0.2
             ),
             repeats=repeats,
         ),
-        'plan_350_by_1300_us': _time(
-            lambda number: large.plan_connections(), repeats=1
+        'plan_350_by_1300_us': _measure_us(
+            lambda number: large_router.plan_connections(), repeats=1
         ),
         'directory_answer_of_350_us': _measure_directory(),
     }
 
 
 def _measure_directory():
-    """Return the cost of an answer when 45 a second are asked for."""
-    known = directory.Directory(entry_id='entry-0', data_centre='dc-0')
+    """Return the microseconds per answer at 45 requests a second."""
+    entry_directory = directory.Directory(
+        entry_id='entry-0', data_centre='dc-0'
+    )
     for number in range(350):
         entry_id = f'entry-{number}'
-        seen = directory_events.EntrySeen(
+        target_seen = directory_events.EntrySeen(
             entry_id=entry_id,
             incarnation=1,
             data_centre=f'dc-{number % 6}',
             address='',
         )
-        known.apply(seen, now_s=0.0)
-        heard = directory_events.EntryMessageReceived(
+        entry_directory.apply(target_seen, now_s=0.0)
+        message_received = directory_events.EntryMessageReceived(
             entry_id=entry_id, incarnation=1, stamp_s=1.0, load=0.1
         )
-        known.apply(heard, now_s=0.0)
-    return _time(
-        lambda number: known.answer(
+        entry_directory.apply(message_received, now_s=0.0)
+    return _measure_us(
+        lambda number: entry_directory.answer(
             directory_decisions.Caller(identity=str(number)), number / 45
         ),
         repeats=130,
@@ -197,53 +214,53 @@
 
 
 def measure_subsets(*, entries=350, targets=1300, data_centres=6):
-    """Return how evenly connections spread, ours and chosen by entries."""
-    chosen = traffic.find_subsets(
+    """Return how evenly connections spread, by the side that chooses."""
+    chosen_by_targets = traffic.find_subsets(
         entries=entries, targets=targets, data_centres=data_centres
     )
     generator = np.random.default_rng(SEED)
-    naive = [
+    chosen_by_entries = [
         set(generator.choice(targets, 40, replace=False).tolist())
         for _ in range(entries)
     ]
     return {
-        'targets_choose': _describe_spread(chosen, targets=targets),
-        'entries_choose': _describe_spread(naive, targets=targets),
+        'targets_choose': _describe_spread(chosen_by_targets, targets=targets),
+        'entries_choose': _describe_spread(chosen_by_entries, targets=targets),
     }
 
 
 def _describe_spread(numbers_by_entry, *, targets):
-    sharers = np.zeros(targets, dtype=int)
+    entries_per_target = np.zeros(targets, dtype=int)
     load = np.zeros(targets)
     for numbers in numbers_by_entry:
         for number in numbers:
-            sharers[number] += 1
+            entries_per_target[number] += 1
             load[number] += 1.0 / len(numbers)
     sizes = [len(numbers) for numbers in numbers_by_entry]
     return {
         'targets_per_entry_least': min(sizes),
         'targets_per_entry_most': max(sizes),
-        'entries_per_target_least': int(sharers.min()),
-        'entries_per_target_most': int(sharers.max()),
-        # The load that even splitting by each entry would bring.
+        'entries_per_target_least': int(entries_per_target.min()),
+        'entries_per_target_most': int(entries_per_target.max()),
+        # The load if each entry split its calls evenly over its targets.
         'even_load_most_to_mean': round(float(load.max() / load.mean()), 2),
     }
 
 
-def _time(action, *, repeats):
+def _measure_us(action, *, repeats):
     started_s = time.process_time()
     for number in range(repeats):
         action(number)
     return (time.process_time() - started_s) / repeats * 1e6
 
 
-def _warm(routed, target_id, digests):
-    routed.apply(events.TargetReachable(target_id=target_id), now_s=0.0)
-    routed.apply(_make_report(target_id, stamp_s=1.0), now_s=0.0)
+def _fill_cache(entry_router, target_id, digests):
+    entry_router.apply(events.TargetReachable(target_id=target_id), now_s=0.0)
+    entry_router.apply(_make_report(target_id, stamp_s=1.0), now_s=0.0)
     cached = events.CacheEventSeen(
         target_id=target_id, incarnation=1, sequence=1, added=digests
     )
-    routed.apply(cached, now_s=0.0)
+    entry_router.apply(cached, now_s=0.0)
 
 
 def _make_report(target_id, *, stamp_s):
--- a/tools/measure/routing_policies.py
+++ b/tools/measure/routing_policies.py
@@ -1,4 +1,4 @@
-"""Adapt the router and naive policies to the serving model."""
+"""Define routing policies for the serving model."""
 
 import numpy as np
 
@@ -8,7 +8,7 @@
 
 
 class Policy:
-    """Serve as the base of the policies; learn nothing by default."""
+    """Define the interface of the policies; ignore events by default."""
 
     def __init__(self, *, world, entry, entries, data_centres, numbers):
         self.world = world
@@ -16,96 +16,104 @@
         self.entries = entries
         self.data_centres = data_centres
         self.numbers = numbers
-        self.listed = sorted(numbers)
+        self.listed_numbers = sorted(numbers)
 
     def choose(self, call):
-        """Return a target's number, or None to refuse."""
+        """Return the number of a target, or None to refuse the call."""
         raise NotImplementedError
 
-    def on_listed(self, numbers):
-        """Learn the lagging list of targets."""
-        self.listed = sorted(self.numbers & set(numbers))
+    def on_target_list(self, numbers):
+        """Handle a new list of targets, which may be out of date."""
+        self.listed_numbers = sorted(self.numbers & set(numbers))
 
     def on_sent(self, call, number):
-        """Learn that a call was sent."""
+        """Handle the sending of a call."""
 
     def on_refused(self, call, number, reason):
-        """Learn that a target refused a call."""
+        """Handle the refusal of a call by a target."""
 
     def on_first_token(self, call):
-        """Learn that a call's answer began."""
+        """Handle the first token of a call."""
 
     def on_finished(self, call, number):
-        """Learn that a call was answered."""
+        """Handle the end of an answered call."""
 
-    def on_cut(self, call, number):
-        """Learn that a call was cut by the end of its target."""
+    def on_interrupted(self, call, number):
+        """Handle the interruption of a call by the stop of its target."""
 
     def on_report(self, number, report, changes):
-        """Learn a target's load and the changes of its cache."""
+        """Handle a load report of a target and the changes of its cache."""
 
     def on_data_centre(self, data_centre, state):
-        """Learn that a data centre was taken out or brought back."""
+        """Handle the removal or the return of a data centre."""
 
     def on_connection(self, number, reachable):
-        """Learn that the connection to a target went down or up."""
+        """Handle the loss or the opening of a connection to a target."""
 
 
 class RoundRobin(Policy):
-    """Take the listed targets in turn."""
+    """Choose the listed targets in rotation."""
 
     def __init__(self, **arguments):
         super().__init__(**arguments)
-        self._turn = self.entry
+        self._next_index = self.entry
 
     def choose(self, call):
         """Return the next target of the list."""
-        left = [n for n in self.listed if n not in call.excluded]
-        if not left:
+        candidates = [
+            number
+            for number in self.listed_numbers
+            if number not in call.excluded
+        ]
+        if not candidates:
             return None
-        self._turn += 1
-        return left[self._turn % len(left)]
+        self._next_index += 1
+        return candidates[self._next_index % len(candidates)]
 
 
 class LeastReported(Policy):
-    """Take the target with the least reported load."""
+    """Choose the target with the least reported load."""
 
     def __init__(self, **arguments):
         super().__init__(**arguments)
         self._loads = {}
 
     def on_report(self, number, report, changes):
-        """Keep the load."""
+        """Store the reported load."""
         self._loads[number] = report['running'] + report['queued']
 
     def choose(self, call):
-        """Return the first target of the least load."""
-        left = [n for n in self.listed if n not in call.excluded]
-        if not left:
+        """Return the first listed target with the least load."""
+        candidates = [
+            number
+            for number in self.listed_numbers
+            if number not in call.excluded
+        ]
+        if not candidates:
             return None
-        return min(left, key=lambda number: self._loads.get(number, 0))
+        return min(candidates, key=lambda number: self._loads.get(number, 0))
 
 
 class PerfectShortestQueue(Policy):
-    """Take the shortest queue of all targets, known without delay."""
+    """Choose the target with the fewest calls, without report delays."""
 
     def choose(self, call):
-        """Return the target that holds the fewest calls now."""
+        """Return the target that has the fewest calls now."""
         targets = [
             target
             for target in self.world.targets
             if target.up
             and not target.leaving
             and target.number not in call.excluded
-            and target.load < target.bears + (0 if target.cold else 24)
+            and target.load < target.current_limit + (0 if target.cold else 24)
         ]
         if not targets:
             return None
         return min(targets, key=lambda target: target.load).number
 
 
-class Routed(Policy):
-    """Ask a router of savoryyoke."""
+class RouterPolicy(Policy):
+    """Choose targets with the router of savoryyoke."""
 
     def __init__(self, *, settings=None, **arguments):
         super().__init__(**arguments)
@@ -122,7 +130,7 @@
         }
         self._apply(events.PeersChanged(data_centres_by_entry_id=peers))
         for target in self.world.targets:
-            self._see(target)
+            self._register_target(target)
         self._router.plan_connections()
         for number in self.numbers:
             self.on_connection(number, True)
@@ -130,7 +138,7 @@
     def _apply(self, event):
         return self._router.apply(event, now_s=self.world.now_s)
 
-    def _see(self, target):
+    def _register_target(self, target):
         seen = events.TargetSeen(
             target_id=str(target.number),
             incarnation=target.incarnation,
@@ -154,7 +162,7 @@
         return None
 
     def on_sent(self, call, number):
-        """Tell the router."""
+        """Pass the event to the router."""
         sent = events.Dispatched(
             call_id=call.attempt_id,
             target_id=str(number),
@@ -164,9 +172,9 @@
         self._apply(sent)
 
     def on_refused(self, call, number, reason):
-        """Tell the router; a lost connection is no refusal."""
+        """Pass the refusal to the router; treat a lost call as failed."""
         if reason == 'lost':
-            self.on_cut(call, number)
+            self.on_interrupted(call, number)
             return
         refused = events.Refused(
             call_id=call.attempt_id,
@@ -177,7 +185,7 @@
         self._apply(refused)
 
     def on_first_token(self, call):
-        """Tell the router, with the cached blocks that the answer tells."""
+        """Pass the event to the router with the number of cached blocks."""
         first = events.FirstToken(
             call_id=call.attempt_id,
             latency_s=self.world.now_s - call.sent_s,
@@ -186,11 +194,11 @@
         self._apply(first)
 
     def on_finished(self, call, number):
-        """Tell the router."""
+        """Pass the event to the router."""
         self._complete(call, events.Outcome.ANSWERED)
 
-    def on_cut(self, call, number):
-        """Tell the router."""
+    def on_interrupted(self, call, number):
+        """Pass the event to the router."""
         self._complete(call, events.Outcome.FAILED)
 
     def _complete(self, call, outcome):
@@ -203,7 +211,7 @@
         self._apply(completed)
 
     def on_report(self, number, report, changes):
-        """Tell the router; events of a lost message never come."""
+        """Pass the load to the router, and cache events unless lost."""
         target_id = str(number)
         self._apply(events.LoadReported(target_id=target_id, **report))
         if changes is not None:
@@ -218,17 +226,17 @@
             self._apply(seen)
 
     def on_data_centre(self, data_centre, state):
-        """Tell the router."""
+        """Pass the event to the router."""
         changed = events.DataCentreStateChanged(
             data_centre=f'dc-{data_centre}', state=state
         )
         self._apply(changed)
 
     def on_connection(self, number, reachable):
-        """Tell the router, which also learns the incarnation then."""
-        kind = events.TargetUnreachable
+        """Pass the event to the router; register a new incarnation first."""
+        event_class = events.TargetUnreachable
         if reachable:
-            kind = events.TargetReachable
-            self._see(self.world.targets[number])
+            event_class = events.TargetReachable
+            self._register_target(self.world.targets[number])
             self._router.plan_connections()
-        self._apply(kind(target_id=str(number)))
+        self._apply(event_class(target_id=str(number)))
--- a/tools/measure/simulated.py
+++ b/tools/measure/simulated.py
@@ -1,4 +1,4 @@
-"""Load the virtual network that the library's tests use."""
+"""Load the simulated networks of the library's tests."""
 
 import importlib
 import pathlib
@@ -7,15 +7,15 @@
 PACKAGE = pathlib.Path(__file__).resolve().parents[2] / 'packages/savoryyoke'
 
 
-def load(name):
-    """Return a module below the library's ``tests`` package."""
+def load_test_module(name):
+    """Import and return a module of the library's ``tests`` package."""
     if str(PACKAGE) not in sys.path:
         sys.path.insert(0, str(PACKAGE))
     return importlib.import_module(f'tests.{name}')
 
 
 def percentile(values, share):
-    """Return the value that this share of values does not exceed."""
+    """Return the percentile of values at a share between 0 and 1."""
     ordered = sorted(values)
-    place = min(int(share * len(ordered)), len(ordered) - 1)
-    return ordered[place]
+    index = min(int(share * len(ordered)), len(ordered) - 1)
+    return ordered[index]
--- a/tools/measure/traffic.py
+++ b/tools/measure/traffic.py
@@ -1,4 +1,4 @@
-"""Draw seeded calls and subsets for measurements of routing."""
+"""Generate seeded calls and connections for measurements of routing."""
 
 import math
 
@@ -9,7 +9,7 @@
 from tools.measure import serving_model as model
 
 KINDS = (
-    # Kind, share, priority, time to the first token that is not late.
+    # Kind, share of the calls, priority, time limit of the first token in s.
     ('decision', 0.1, 3, 5.0),
     ('interactive', 0.5, 2, 2.0),
     ('batch', 0.4, 0, 30.0),
@@ -18,19 +18,19 @@
 
 
 def make_digests(*, team, conversation):
-    """Return the digests of a conversation's ever longer prefixes."""
-    system = [b's%d/%d' % (team, block) for block in range(20)]
-    own = [
+    """Return the prefix digests of a conversation, shortest first."""
+    system_blocks = [b's%d/%d' % (team, block) for block in range(20)]
+    conversation_blocks = [
         b'c%d/%d/%d' % (team, conversation, block)
         for block in range(model.CONVERSATION_BLOCKS)
     ]
-    return tuple(system[: model.SYSTEM_BLOCKS] + own)
+    return tuple(system_blocks[: model.SYSTEM_BLOCKS] + conversation_blocks)
 
 
 def schedule_calls(
     world, *, calls_per_s, until_s, teams, conversations, entries, seed
 ):
-    """Schedule calls of a Poisson process, large teams first."""
+    """Schedule Poisson arrivals; lower-numbered teams send more calls."""
     generator = np.random.default_rng(seed)
     weights = 1.0 / np.arange(1, teams + 1)
     weights /= weights.sum()
@@ -63,7 +63,7 @@
 
 
 def find_subsets(*, entries, targets, data_centres):
-    """Return the numbers of the targets of each entry."""
+    """Return the numbers of the targets that each entry connects to."""
     table = subsets.EntryTable(
         data_centres_by_entry_id={
             f'entry-{number}': f'dc-{number % data_centres}'
@@ -74,21 +74,21 @@
     count = subsets.count_connected_entries(
         entries=entries, targets=targets, settings=settings
     )
-    found = [set() for _ in range(entries)]
+    numbers_by_entry = [set() for _ in range(entries)]
     for number in range(targets):
-        sharers = table.select_connected_entries(
+        entry_ids = table.select_connected_entries(
             target_id=str(number),
             data_centre=f'dc-{number % data_centres}',
             count=count,
             near_share=settings.near_share,
         )
-        for entry_id in sharers:
-            found[int(entry_id.split('-')[1])].add(number)
-    return found
+        for entry_id in entry_ids:
+            numbers_by_entry[int(entry_id.split('-')[1])].add(number)
+    return numbers_by_entry
 
 
 def make_world(*, policy, entries, targets, data_centres, seed, **arguments):
-    """Return a world with a policy in each entry and reports under way."""
+    """Return a world with a policy for each entry and scheduled reports."""
     world = model.World(
         generator=np.random.default_rng(seed),
         data_centres=data_centres,
