--- a/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/__init__.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/__init__.py
@@ -1,4 +1,4 @@
-"""Stand in for the users' platform, by its published protocol.
+"""Simulate the users' platform over its published protocol.
 
-The stand-ins run inside the test's event loop and speak over loopback.
+The fakes run in the event loop of the test and serve on loopback.
 """
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/http.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/http.py
@@ -1,4 +1,4 @@
-"""Serve HTTP/1.1 by hand, so that every oddity can be produced."""
+"""Serve HTTP/1.1 directly on sockets, so that tests can send invalid HTTP."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """Hold a request as it came; header names are in lower case."""
+    """Hold a received request; header names are in lower case."""
 
     method: str
     target: str
@@ -21,7 +21,7 @@
 
 
 class Connection:
-    """Own one accepted connection."""
+    """Read requests from an accepted connection and answer them."""
 
     def __init__(self, stream):
         self._stream = stream
@@ -39,42 +39,45 @@
         method, target, _ = lines[0].split(' ')
         pairs = (line.split(':', 1) for line in lines[1:])
         headers = {name.lower(): value.strip() for name, value in pairs}
-        length = int(headers.get('content-length', 0))
-        while len(self._buffer) < length:
+        body_length = int(headers.get('content-length', 0))
+        while len(self._buffer) < body_length:
             if not await self._receive():
                 return None
-        body, self._buffer = self._buffer[:length], self._buffer[length:]
+        body, self._buffer = (
+            self._buffer[:body_length],
+            self._buffer[body_length:],
+        )
         return Request(
             method=method, target=target, headers=headers, body=body
         )
 
     async def answer(self, status, *, headers=(), body=b''):
-        """Send a whole answer."""
-        length = ('Content-Length', str(len(body)))
-        await self.send_head(status, [*headers, length])
+        """Send a complete response with a ``Content-Length`` header."""
+        length_header = ('Content-Length', str(len(body)))
+        await self.send_head(status, [*headers, length_header])
         await self.send(body)
 
     async def send_head(self, status, headers):
-        """Send a status line and headers."""
+        """Send the status line and ``headers``, which are pairs of strings."""
         reason = _REASONS_BY_STATUS.get(status, 'Other')
         lines = [f'HTTP/1.1 {status} {reason}']
         lines.extend(f'{name}: {value}' for name, value in headers)
         await self.send('\r\n'.join([*lines, '', '']).encode())
 
     async def send(self, data):
-        """Send bytes as they are."""
+        """Send ``data`` without framing."""
         await self._stream.send(data)
 
     async def send_chunk(self, data):
-        """Send one chunk; an empty one ends the body."""
+        """Send one chunk of a chunked body; empty ``data`` ends the body."""
         await self.send(f'{len(data):x}\r\n'.encode() + data + b'\r\n')
 
     async def reset(self):
-        """Close the connection with a reset."""
+        """Reset the TCP connection."""
         await sockets.reset(self._stream)
 
     async def wait_closed(self):
-        """Return when the other side has closed."""
+        """Wait until the client closes the connection."""
         while await self._receive():
             pass
 
@@ -87,9 +90,10 @@
 
 
 async def serve(answer, *, task_status, host='127.0.0.1', port=0):
-    """Call ``answer(request, connection)`` for each request.
+    """Call ``answer(request, connection)`` for each request until cancelled.
 
-    Report the bound address as ``(host, port)``; port 0 takes a free one.
+    Pass the bound address to ``task_status`` as ``(host, port)``. With port 0
+    the kernel selects a free port.
     """
 
     async def handle(stream):
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/published.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/published.py
@@ -1,4 +1,4 @@
-"""Write what operators and targets publish, and what callers send."""
+"""Build the documents of operators and targets, and request headers."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 def build_route(prefix, kind, **changes):
-    """Return a route as operators write it."""
+    """Return a route of the operators' configuration."""
     route = {
         'Name': prefix.strip('/'),
         'Host': HOST,
@@ -25,7 +25,7 @@
 
 
 def build_configuration(version=1, **changes):
-    """Return a configuration as operators write it."""
+    """Return an operators' configuration."""
     configuration = {
         'Version': version,
         'Routes': [
@@ -49,7 +49,7 @@
 
 
 def build_target(*, address, **changes):
-    """Return a replica's value in the store."""
+    """Return the value that a replica publishes in the store."""
     value = {
         'Service': 'plain',
         'Addr': f'{address[0]}:{address[1]}',
@@ -65,7 +65,7 @@
 
 
 def build_headers(*, request_id, deadline_s, key=KEY):
-    """Return the headers of a caller's request; no key if it is None."""
+    """Return request headers; without ``Authorization`` if ``key`` is None."""
     headers = [
         ('Host', HOST),
         ('X-Request-Id', request_id),
@@ -77,6 +77,6 @@
 
 
 def read_directory(content):
-    """Return the addresses in a directory's answer, and its TTL in s."""
+    """Return the addresses and the TTL (seconds) of a directory response."""
     document = json.loads(content)
     return document['Addrs'], document['TtlS']
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/replica.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/replica.py
@@ -1,4 +1,4 @@
-"""Stand in for a replica, with every oddity that callers must survive."""
+"""Simulate a replica and the faults that its clients must handle."""
 
 import collections
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 class Oddity(enum.Enum):
-    """Name what a replica does with a request besides serving it."""
+    """List the faults that a replica can apply to a request."""
 
     NONE = 'none'
     REFUSE = 'refuse'
@@ -51,7 +51,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Run:
-    """Record one request that the replica ran."""
+    """Record one request that the replica ran.
+
+    ``was_cut`` is true if the caller disconnected before the end.
+    """
 
     request: http.Request
     was_cut: bool = False
@@ -59,22 +62,27 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FatalRequest:
-    """Describe requests that end the replica ``after_s`` into their run."""
+    """Describe requests that crash the replica.
+
+    The crash comes ``after_s`` seconds after the request has started to run.
+    """
 
     body: bytes
     after_s: float = 0.03
 
 
 class FakeReplica:
-    """Run requests and remember them.
-
-    ``oddities`` are used up one a request; after them all is regular.
-    Replicas that share ``common_oddities`` use those up together, and note
-    their runs in ``common_runs`` in order. ``work_s`` is what an answer and
-    each event of a stream take. ``fatal_requests`` are ``FatalRequest``.
-    While ``is_leaving``, all answers say so; while there is a ``pause``, all
-    requests are refused with it as the time to return. ``work_s_by_body``
-    holds the work of single bodies.
+    """Run requests and record them.
+
+    Each request removes the first fault of ``oddities`` or, if it is empty,
+    of ``common_oddities``; without a fault, it is served normally. Several
+    replicas can share ``common_oddities`` and ``common_runs``, to which each
+    appends its runs in order. ``work_s`` is the time in seconds for a response
+    and for each event of a stream; ``work_s_by_body`` overrides it for
+    responses to single request bodies. ``fatal_requests`` holds
+    ``FatalRequest`` objects. While ``is_leaving`` is true, responses carry
+    the ``Server-Leaving`` header. While ``pause`` is set, all requests are
+    refused with it as the ``Retry-After`` header.
     """
 
     def __init__(
@@ -98,20 +106,23 @@
         self._common_runs = common_runs
         self._work_s = work_s
         self._fatal_requests = fatal_requests
-        self._life = anyio.CancelScope()
+        self._serve_scope = anyio.CancelScope()
 
     async def serve(self, *, task_status, port=0):
-        """Serve on loopback until a crash; report the address."""
-        with self._life:
+        """Serve on loopback until ``crash`` is called.
+
+        Pass the bound address to ``task_status``.
+        """
+        with self._serve_scope:
             await http.serve(self._answer, task_status=task_status, port=port)
 
     def crash(self):
         """Close the listener and all connections at once."""
-        self._life.cancel()
+        self._serve_scope.cancel()
 
     async def _answer(self, request, connection):
         self.arrivals.append(request)
-        oddity = self._take_oddity()
+        oddity = self._pop_oddity()
         expected = request.headers.get('x-expect-instance')
         if oddity is Oddity.OTHER_INSTANCE or (
             expected is not None and expected != self.replica_id
@@ -126,7 +137,7 @@
         else:
             await self._run(request, connection, oddity)
 
-    def _take_oddity(self):
+    def _pop_oddity(self):
         for oddities in (self.oddities, self._common_oddities):
             if oddities:
                 return oddities.popleft()
@@ -135,16 +146,18 @@
     async def _run(self, request, connection, oddity):
         run = Run(request=request)
         self._common_runs.append(run)
-        for fatal in self._fatal_requests:
-            if request.body == fatal.body:
-                await anyio.sleep(fatal.after_s)
+        for fatal_request in self._fatal_requests:
+            if request.body == fatal_request.body:
+                await anyio.sleep(fatal_request.after_s)
                 self.crash()
                 await anyio.sleep_forever()
         if oddity in _FLOODS_BY_ODDITY:
-            first, chunk, pause_s = _FLOODS_BY_ODDITY[oddity]
+            prefix, chunk, pause_s = _FLOODS_BY_ODDITY[oddity]
             request_id = request.headers.get('x-request-id', '')
-            first = first.replace(_REQUEST_ID, request_id.encode())
-            await _flood(connection, first, chunk, pause_s)
+            prefix = prefix.replace(
+                _REQUEST_ID_PLACEHOLDER, request_id.encode()
+            )
+            await _flood(connection, prefix, chunk, pause_s)
             return
         if 'text/event-stream' in request.headers.get('accept', ''):
             await self._stream(request, connection, oddity, run)
@@ -157,7 +170,7 @@
         )
 
     def _build_notices(self):
-        """Return the headers that concern the replica, not the request."""
+        """Return the headers that describe the replica, not the request."""
         notices = []
         if self.is_leaving:
             notices.append(('Server-Leaving', '1'))
@@ -184,22 +197,22 @@
         return headers
 
     async def _stream(self, request, connection, oddity, run):
-        first = int(request.headers.get('last-event-id', 0)) + 1
+        first_number = int(request.headers.get('last-event-id', 0)) + 1
         headers = self._build_headers(request, oddity)
         headers.append(('Content-Type', 'text/event-stream'))
         headers.append(('Transfer-Encoding', 'chunked'))
         await connection.send_head(200, headers)
-        for number in range(first, self.events + 1):
+        for number in range(first_number, self.events + 1):
             if oddity is Oddity.SLOW_EVENTS:
-                await self._pause(connection, run)
+                await self._delay_event(connection, run)
             await anyio.sleep(self._work_s)
             event = f'id: {number}\ndata: token-{number}\n\n'.encode()
-            half = self.events // 2
-            torn = oddity in (Oddity.TORN_EVENT, Oddity.TORN_EVENT_ENDED)
-            if torn and number > half:
+            half_count = self.events // 2
+            is_torn = oddity in (Oddity.TORN_EVENT, Oddity.TORN_EVENT_ENDED)
+            if is_torn and number > half_count:
                 await connection.send_chunk(event[:9])
                 break
-            if oddity in _EVENT_FLOODS_BY_ODDITY and number > half:
+            if oddity in _EVENT_FLOODS_BY_ODDITY and number > half_count:
                 chunk, pause_s = _EVENT_FLOODS_BY_ODDITY[oddity]
                 chunk = f'{len(chunk):x}\r\n'.encode() + chunk + b'\r\n'
                 await _flood(connection, b'', chunk, pause_s)
@@ -213,8 +226,8 @@
             return
         await connection.send_chunk(b'')
 
-    async def _pause(self, connection, run):
-        """Wait before an event; note a caller that leaves meanwhile."""
+    async def _delay_event(self, connection, run):
+        """Delay an event; reset and record it if the caller disconnects."""
         with anyio.move_on_after(0.3):
             await connection.wait_closed()
             run.was_cut = True
@@ -229,7 +242,7 @@
     await connection.answer(500, headers=headers, body=b'failed')
 
 
-async def _answer_unproven(connection, headers, body):
+async def _answer_without_not_run(connection, headers, body):
     await connection.answer(503, headers=headers, body=b'')
 
 
@@ -237,13 +250,13 @@
     await connection.reset()
 
 
-async def _stay_mute(connection, headers, body):
+async def _send_nothing(connection, headers, body):
     await connection.wait_closed()
 
 
 async def _truncate(connection, headers, body):
-    length = ('Content-Length', str(len(body) + 5))
-    await connection.send_head(200, [*headers, length])
+    length_header = ('Content-Length', str(len(body) + 5))
+    await connection.send_head(200, [*headers, length_header])
     await connection.send(body)
     await connection.reset()
 
@@ -266,7 +279,7 @@
     await connection.answer(200, headers=headers, body=b'a second answer')
 
 
-async def _send_no_http(connection, headers, body):
+async def _send_invalid_http(connection, headers, body):
     await connection.send(b'\x00\x01 this is no answer\r\n\r\n')
     await connection.reset()
 
@@ -276,10 +289,13 @@
     await connection.answer(200, headers=headers, body=body)
 
 
-async def _flood(connection, first, chunk, pause_s):
-    """Send ``chunk`` again and again until the other side closes."""
+async def _flood(connection, prefix, chunk, pause_s):
+    """Send ``prefix``, then repeat ``chunk`` until the connection closes.
+
+    ``pause_s`` is the interval between chunks in seconds.
+    """
     try:
-        await connection.send(first)
+        await connection.send(prefix)
         while True:
             await connection.send(chunk)
             await anyio.sleep(pause_s)
@@ -288,19 +304,19 @@
 
 
 _STATUS_LINE = b'HTTP/1.1 200 OK\r\n'
-# Stands for the id of the request in what a flood begins with.
-_REQUEST_ID = b'{request-id}'
+# Placeholder for the request id in the prefix of a flood.
+_REQUEST_ID_PLACEHOLDER = b'{request-id}'
 _SIGNED_HEAD = (
     _STATUS_LINE
     + b'X-Server-Seal: s\r\nX-Request-Id: '
-    + _REQUEST_ID
+    + _REQUEST_ID_PLACEHOLDER
     + b'\r\n'
 )
 _CHUNKED_HEAD = _SIGNED_HEAD + b'Transfer-Encoding: chunked\r\n\r\n'
-_FIELD = b'X-Field: ' + b'x' * 8192 + b'\r\n'
-# What comes first, what is repeated, and the seconds between.
+_LARGE_FIELD = b'X-Field: ' + b'x' * 8192 + b'\r\n'
+# For each fault: prefix, repeated chunk and interval in seconds.
 _FLOODS_BY_ODDITY = {
-    Oddity.ENDLESS_HEAD: (_STATUS_LINE, _FIELD, 0.0),
+    Oddity.ENDLESS_HEAD: (_STATUS_LINE, _LARGE_FIELD, 0.0),
     Oddity.ENDLESS_INFORMATIONAL: (
         b'',
         b'HTTP/1.1 103 Early Hints\r\n\r\n' * 1000,
@@ -309,7 +325,7 @@
     Oddity.ENDLESS_NOISE: (b'', b'\x00\x01' * 32768, 0.0),
     Oddity.ENDLESS_BODY: (_SIGNED_HEAD + b'\r\n', b'x' * 65536, 0.0),
     Oddity.ENDLESS_CHUNK_SIZE: (_CHUNKED_HEAD + b'5;x=', b'x' * 65536, 0.0),
-    Oddity.ENDLESS_TRAILERS: (_CHUNKED_HEAD + b'0\r\n', _FIELD, 0.0),
+    Oddity.ENDLESS_TRAILERS: (_CHUNKED_HEAD + b'0\r\n', _LARGE_FIELD, 0.0),
     Oddity.DRIPPED_HEAD: (_STATUS_LINE, b'X-Field: x\r\n', 0.05),
     Oddity.DRIPPED_BODY: (
         _SIGNED_HEAD + b'Content-Length: 1000000\r\n\r\n',
@@ -323,6 +339,7 @@
         0.05,
     ),
 }
+# For each fault of an event stream: repeated chunk and interval in seconds.
 _EVENT_FLOODS_BY_ODDITY = {
     Oddity.ENDLESS_EVENT: (b'data: ' + b'x' * 65536, 0.0),
     Oddity.ENDLESS_COMMENTS: (b': x\n\n' * 1000, 0.0),
@@ -330,13 +347,13 @@
 }
 _ANSWERS_BY_ODDITY = {
     Oddity.ERROR: _answer_error,
-    Oddity.REFUSE_UNPROVEN: _answer_unproven,
+    Oddity.REFUSE_UNPROVEN: _answer_without_not_run,
     Oddity.RESET_AFTER_RUN: _reset,
-    Oddity.MUTE: _stay_mute,
+    Oddity.MUTE: _send_nothing,
     Oddity.TRUNCATE: _truncate,
     Oddity.UNFRAMED: _answer_unframed,
     Oddity.UNFRAMED_RESET: _reset_unframed,
     Oddity.EXTRA: _answer_twice,
-    Oddity.NO_HTTP: _send_no_http,
+    Oddity.NO_HTTP: _send_invalid_http,
     Oddity.INFORMATIONAL: _answer_after_informational,
 }
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/restarts.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/restarts.py
@@ -1,4 +1,4 @@
-"""Start a replica again each time that it has crashed."""
+"""Restart a fake replica after each crash."""
 
 import dataclasses
 import itertools
@@ -12,14 +12,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """Record a request that began to run at a replica."""
+    """Record a request that a replica started to run.
+
+    ``at_s`` is the monotonic time in seconds.
+    """
 
     at_s: float
     body: bytes
 
 
 class RunLog:
-    """Collect the runs of a replica as arrivals in a shared list."""
+    """Append an ``Arrival`` to a shared list for each run of a replica."""
 
     def __init__(self, *, arrivals):
         self._arrivals = arrivals
@@ -32,13 +35,13 @@
 
 
 class RestartedReplica:
-    """Own a replica's address over all of its incarnations.
+    """Run a replica that restarts at the same address after each crash.
 
-    Each incarnation has an id of its own and is published in ``store``.
-    Like the platform, the stand-in leaves the entry of a crashed incarnation
-    in the list until the next one has started, ``down_s`` later. Runs are
-    added to ``arrivals``; ``release`` and ``fatal_requests`` apply to the
-    incarnations that start after a change.
+    Each incarnation has a new id and is published in ``store``. As on the
+    real platform, the entry of a crashed incarnation stays listed until the
+    next incarnation has started, ``down_s`` seconds later. Runs are appended
+    to ``arrivals``. A change of ``release`` or ``fatal_requests`` applies
+    from the next incarnation on.
     """
 
     def __init__(
@@ -54,7 +57,7 @@
         self.current = None
 
     async def run(self, *, task_status):
-        """Serve until cancelled."""
+        """Serve until cancelled; pass the first address to ``task_status``."""
         port = 0
         published_id = None
         for number in itertools.count(1):
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/sockets.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/sockets.py
@@ -1,4 +1,4 @@
-"""Handle sockets of stand-ins."""
+"""Find free ports and reset connections."""
 
 import contextlib
 import socket
@@ -9,20 +9,24 @@
 
 
 def find_ports(host, count):
-    """Return ports of ``host`` that the kernel has free."""
+    """Return ``count`` different TCP ports of ``host`` that are free now."""
     with contextlib.ExitStack() as stack:
-        opened = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for one in opened:
-            one.bind((host, 0))
-        return [one.getsockname()[1] for one in opened]
+        opened_sockets = [
+            stack.enter_context(socket.socket()) for _ in range(count)
+        ]
+        for opened_socket in opened_sockets:
+            opened_socket.bind((host, 0))
+        return [
+            opened_socket.getsockname()[1] for opened_socket in opened_sockets
+        ]
 
 
 async def reset(stream):
-    """Close a connection with a reset, unless it is closed already."""
+    """Reset a TCP connection; do nothing if it is already closed."""
     try:
-        raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-        # A zero linger time turns the close into a reset.
-        raw.setsockopt(
+        raw_socket = stream.extra(anyio.abc.SocketAttribute.raw_socket)
+        # With a linger time of zero, closing the socket sends a reset.
+        raw_socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
         )
     except (OSError, anyio.ClosedResourceError):
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/store.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/deployment/store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store."""
+"""Simulate the key-value store of the platform."""
 
 import base64
 import json
@@ -12,18 +12,20 @@
 
 
 class FakeStore:
-    """Keep published values and serve them, with faults on demand.
+    """Serve published values, with faults that a test can switch on.
 
-    ``status`` is answered to everybody while it is set; ``is_silent``
-    leaves calls unanswered; ``garbage`` replaces the next body; while
-    ``hides_changes`` is true, watches show no change.
+    While ``status`` is set, it is the status of every response. While
+    ``is_silent`` is true, calls get no response. ``garbage`` replaces the
+    body of the next response. Changes made while ``hides_changes`` is true
+    are missing from the events of watches. ``calls`` lists the path of each
+    call.
     """
 
     def __init__(self):
-        self._values_by_key = {}
+        self._items_by_key = {}
         self._revision = 1
         self._events = []
-        self._history_from = 0
+        self._first_watchable_revision = 0
         self._changed = anyio.Event()
         self.status = None
         self.is_silent = False
@@ -32,7 +34,7 @@
         self.calls = []
 
     def write(self, key, value):
-        """Publish ``value``: JSON data, or bytes as they are."""
+        """Publish ``value``: bytes unchanged, anything else as JSON."""
         raw = value if type(value) is bytes else json.dumps(value).encode()
         self._revision += 1
         item = {
@@ -42,32 +44,37 @@
             'Created': self._revision,
             'Lease': 0,
         }
-        self._values_by_key[key] = item
-        self._note(item)
+        self._items_by_key[key] = item
+        self._record_event(item)
 
     def remove(self, key):
-        """Withdraw the value of ``key``."""
+        """Remove the value of ``key``."""
         self._revision += 1
-        del self._values_by_key[key]
-        self._note({'Key': key, 'Rev': self._revision, 'Deleted': True})
+        del self._items_by_key[key]
+        self._record_event(
+            {'Key': key, 'Rev': self._revision, 'Deleted': True}
+        )
 
     def forget_history(self):
-        """Drop all past changes, so that watches from before get 410."""
-        self._history_from = self._revision
+        """Drop past changes; watches of older revisions get status 410."""
+        self._first_watchable_revision = self._revision
         self._events.clear()
 
     async def serve(self, *, task_status):
-        """Serve on loopback until cancelled; report the address."""
+        """Serve on loopback until cancelled.
+
+        Pass the bound address to ``task_status``.
+        """
         await http.serve(self.answer, task_status=task_status)
 
-    def _note(self, event):
+    def _record_event(self, event):
         if not self.hides_changes:
             self._events.append(event)
         self._changed.set()
         self._changed = anyio.Event()
 
     async def answer(self, request, connection):
-        """Answer one call."""
+        """Answer one HTTP call of the store's API."""
         url = urllib.parse.urlsplit(request.target)
         query = dict(urllib.parse.parse_qsl(url.query))
         self.calls.append(url.path)
@@ -86,9 +93,9 @@
             await connection.answer(404)
 
     async def _answer_range(self, query, connection):
-        after = query.get('After', '')
-        keys = sorted(x for x in self._values_by_key if x > after)
-        page = [self._values_by_key[x] for x in keys[:PAGE_ITEMS]]
+        after_key = query.get('After', '')
+        keys = sorted(key for key in self._items_by_key if key > after_key)
+        page = [self._items_by_key[key] for key in keys[:PAGE_ITEMS]]
         await _send_json(
             connection,
             {
@@ -99,21 +106,26 @@
         )
 
     async def _answer_watch(self, query, connection):
-        after = int(query['After'])
+        after_revision = int(query['After'])
         with anyio.move_on_after(int(query['WaitMs']) / 1000):
-            while self._revision <= after:
+            while self._revision <= after_revision:
                 await self._changed.wait()
-        if after < self._history_from:
+        if after_revision < self._first_watchable_revision:
             await connection.answer(410)
             return
-        events = [x for x in self._events if x['Rev'] > after]
+        events = [
+            event for event in self._events if event['Rev'] > after_revision
+        ]
         await _send_json(
             connection, {'events': events, 'AsOf': self._revision}
         )
 
 
 class Door:
-    """Serve a store at an address of its own, which can be shut."""
+    """Serve a store at a separate address.
+
+    While ``is_shut`` is true, calls get status 503; ``refused`` counts them.
+    """
 
     def __init__(self, *, store):
         self._store = store
@@ -121,7 +133,10 @@
         self.refused = 0
 
     async def serve(self, *, task_status):
-        """Serve on loopback until cancelled; report the address."""
+        """Serve on loopback until cancelled.
+
+        Pass the bound address to ``task_status``.
+        """
         await http.serve(self._answer, task_status=task_status)
 
     async def _answer(self, request, connection):
