--- a/packages/savoryyoke-fakes/savoryyoke_fakes/__init__.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engines, services and the platform."""
+"""Simulate model engines, application services and the platform."""
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/clients.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/clients.py
@@ -1,4 +1,4 @@
-"""Call the system as a caller does, from a test or a demonstration."""
+"""Send requests to the load balancer from a test or a demonstration."""
 
 import dataclasses
 import json
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """Hold one HTTP answer."""
+    """Hold one HTTP response; ``whole`` is false if its body broke off."""
 
     status: int
     headers_by_name: dict
@@ -19,45 +19,48 @@
 
     @property
     def document(self):
-        """Return the body as JSON."""
+        """Return the parsed JSON body."""
         return json.loads(self.body)
 
     @property
     def outcome(self):
-        """Return what a problem says of the run, or None."""
+        """Return the ``outcome`` of an error response, or None."""
         if self.status < 400:
             return None
         return self.document.get('outcome')
 
 
 def call(method, address, path, *, body=None, headers=None, timeout_s=None):
-    """Send one request on a connection of its own and return its answer.
+    """Send one request on a new connection and return its ``Answer``.
 
-    An answer that breaks off comes back with ``whole`` false.
+    ``address`` is ``host:port`` and ``body`` becomes JSON. If the body of
+    the response breaks off, the answer has ``whole`` set to false.
     """
     content = b'' if body is None else json.dumps(body).encode()
-    fields = {
+    headers_by_name = {
         'host': address,
         'content-type': 'application/json',
         'content-length': str(len(content)),
         **(headers or {}),
     }
-    limit_s = timeout_s or CALL_TIMEOUT_S
-    timeouts = dict.fromkeys(('connect', 'read', 'write', 'pool'), limit_s)
+    time_limit_s = timeout_s or CALL_TIMEOUT_S
+    timeouts = dict.fromkeys(
+        ('connect', 'read', 'write', 'pool'), time_limit_s
+    )
     with (
         httpcore.ConnectionPool() as pool,
         pool.stream(
             method,
             f'http://{address}{path}',
-            headers=list(fields.items()),
+            headers=list(headers_by_name.items()),
             content=content,
             extensions={'timeout': timeouts},
         ) as response,
     ):
-        return _read(response)
+        return _read_answer(response)
 
 
-def _read(response):
+def _read_answer(response):
     parts = []
     whole = True
     try:
@@ -76,17 +79,20 @@
 
 
 class Client:
-    """Hold a team's answer from the directory and use it."""
+    """Send a team's requests to the entry that the directory assigns."""
 
     def __init__(self, *, team, entry_addresses):
         self._team = team
         self._headers = {'savoryyoke-team': team}
-        self._known_addresses = list(entry_addresses)
+        self._entry_addresses = list(entry_addresses)
         self.directory = None
 
     def ask_directory(self):
-        """Ask the known entries in turn which to use."""
-        for address in self._known_addresses:
+        """Fetch the directory document from the first entry that returns it.
+
+        Raise ``ConnectionError`` if no entry does.
+        """
+        for address in self._entry_addresses:
             try:
                 answer = call(
                     'GET', address, f'/v1/directory?team={self._team}'
@@ -96,19 +102,22 @@
             if answer.status == 200:
                 self.directory = answer.document
                 return self.directory
-        raise ConnectionError('no entry answers')
+        raise ConnectionError('no entry returned the directory')
 
     @property
     def address(self):
-        """Return the address of the entry to use."""
+        """Return the address of the first entry in the directory document."""
         return self.directory['entries'][0]['address']
 
     def build_key(self, service, suffix):
-        """Return an idempotency key bound by the directory's answer."""
+        """Return an idempotency key for ``service``.
+
+        It consists of the binding from the directory and ``suffix``.
+        """
         return f'{self.directory["bindings"][service]}~{suffix}'
 
     def complete(self, prompt, *, max_tokens, address=None, stream=True):
-        """Ask for a completion."""
+        """Request a completion."""
         body = {'prompt': prompt, 'max_tokens': max_tokens, 'stream': stream}
         return call(
             'POST',
@@ -119,7 +128,7 @@
         )
 
     def look_up(self, *, address=None):
-        """Look a balance up."""
+        """Request the balance."""
         return call(
             'GET',
             address or self.address,
@@ -128,7 +137,7 @@
         )
 
     def pay(self, reference, key, *, address=None, timeout_s=None):
-        """Ask for a payment under an idempotency key."""
+        """Request a payment with an idempotency key."""
         return call(
             'POST',
             address or self.address,
@@ -140,12 +149,15 @@
 
 
 def read_tokens(answer):
-    """Return the token numbers and whether the stream ended explicitly."""
+    """Return the token indexes and whether the stream ended properly.
+
+    A proper end is the event ``[DONE]``.
+    """
     indexes = []
-    ended = False
+    has_ended = False
     for event in answer.body.split(b'\n\n'):
         if event == b'data: [DONE]':
-            ended = True
+            has_ended = True
         elif event.startswith(b'data: '):
             indexes.append(json.loads(event[6:])['token_index'])
-    return indexes, ended
+    return indexes, has_ended
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/engine.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/engine.py
@@ -1,7 +1,7 @@
-"""Stand in for a model engine: batches, streams, resumes and cancels.
+"""Simulate a model engine with streaming, resumption and cancellation.
 
-Tokens follow from the prompt alone, so that a test can tell a spliced or
-truncated answer from a whole one.
+Each token depends only on the prompt and its index, so that a test can
+detect a truncated or wrongly joined completion.
 """
 
 import dataclasses
@@ -29,7 +29,14 @@
 
 @dataclasses.dataclass
 class Faults:
-    """Hold the faults that a test has switched on."""
+    """Hold the faults that a test can switch on.
+
+    A stream stalls at the token index ``stall_after``, sends a wrong token
+    at the index ``wrong_token``, and the process exits at the index
+    ``truncate_after``. A prompt that contains ``crash_text`` also ends the
+    process. Above ``concurrency_before_collapse`` running requests, tokens
+    take ten times as long.
+    """
 
     token_interval_s: float = 0.002
     truncate_after: int | None = None
@@ -40,7 +47,7 @@
 
 
 class Engine:
-    """Answer completion requests and count what was run."""
+    """Answer completion requests and count them."""
 
     def __init__(self, *, faults):
         self._faults = faults
@@ -50,7 +57,7 @@
         self._orders = []
 
     async def handle(self, request):
-        """Answer one HTTP request."""
+        """Answer one HTTP request by its path."""
         if request.path == '/v1/completions':
             await self._complete(request)
         elif request.path == '/load':
@@ -83,23 +90,27 @@
             self._running -= 1
 
     async def _answer(self, request, body, prompt):
-        count = int(body.get('max_tokens', 16))
+        token_count = int(body.get('max_tokens', 16))
         if not body.get('stream'):
-            await anyio.sleep(self._faults.token_interval_s * count)
+            await anyio.sleep(self._faults.token_interval_s * token_count)
             text = ' '.join(
-                compute_token(prompt, index) for index in range(count)
+                compute_token(prompt, index) for index in range(token_count)
             )
             choice = {'text': text, 'finish_reason': 'stop'}
             await request.send_json({'choices': [choice]})
             return
-        first = int(body.get('resume', {}).get('index', 0))
+        first_index = int(body.get('resume', {}).get('index', 0))
         await request.start(200, b'text/event-stream')
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._watch_caller, request, tasks.cancel_scope)
-            await self._stream(request, prompt, range(first, count))
+            tasks.start_soon(
+                self._cancel_on_disconnect, request, tasks.cancel_scope
+            )
+            await self._stream(
+                request, prompt, range(first_index, token_count)
+            )
             tasks.cancel_scope.cancel()
 
-    async def _watch_caller(self, request, scope):
+    async def _cancel_on_disconnect(self, request, scope):
         await request.wait_for_disconnect()
         self._cancelled += 1
         scope.cancel()
@@ -115,16 +126,21 @@
                 interval_s *= 10
             if interval_s and index != indexes.start:
                 await anyio.sleep(interval_s)
-            # A wrong token takes the place that another one should have.
-            shown = index + 1 if index == self._faults.wrong_token else index
-            choice = {'index': 0, 'text': compute_token(prompt, shown) + ' '}
+            # At ``wrong_token``, the text of the next token is sent.
+            text_index = (
+                index + 1 if index == self._faults.wrong_token else index
+            )
+            choice = {
+                'index': 0,
+                'text': compute_token(prompt, text_index) + ' ',
+            }
             event = json.dumps({'token_index': index, 'choices': [choice]})
             await request.send_part(f'data: {event}\n\n'.encode())
         await request.send_part(b'data: [DONE]\n\n', last=True)
 
 
 def run(listen_address='127.0.0.1:0', token_interval_s=0.002):
-    """Serve a fake model engine."""
+    """Serve a fake engine; a token takes ``token_interval_s`` seconds."""
     faults = Faults(token_interval_s=float(token_interval_s))
     engine = Engine(faults=faults)
     web.run(engine.handle, listen_address=listen_address, name='engine')
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/fleets.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/fleets.py
@@ -1,4 +1,4 @@
-"""Run a whole fleet of real processes against stand-ins."""
+"""Run a fleet of real daemons with a fake platform and back ends."""
 
 import dataclasses
 import os
@@ -63,9 +63,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetPlace:
-    """Name a target VM and what stands on it.
+    """Describe a target VM.
 
-    ``backend_of`` names another target whose stand-in this one shares.
+    ``backend_of`` is the id of another target VM whose back end is shared.
     """
 
     vm_id: str
@@ -75,13 +75,13 @@
 
     @property
     def backend_name(self):
-        """Return the name of the stand-in behind this target."""
+        """Return the process name of this target's back end."""
         return f'{self.backend_of or self.vm_id}.backend'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EntryPlace:
-    """Name an entry VM."""
+    """Describe an entry VM."""
 
     vm_id: str
     data_centre: str
@@ -110,7 +110,11 @@
 
 
 class Fleet:
-    """Own the processes of a fleet; use it as a context manager."""
+    """Run the processes of a fleet; use it as a context manager.
+
+    ``report`` is called with a line of text for each step of the start. With
+    ``profile_directory``, each daemon writes a profile there when it ends.
+    """
 
     def __init__(
         self,
@@ -132,8 +136,9 @@
         self.admin_addresses_by_name = {}
         self.control_addresses_by_name = {}
         self._leaving = set()
-        # Fleets that run at the same time would take each other's ports
-        # while a process is replaced, had they one address in common.
+        # Each fleet has its own loopback address. On a shared address, a
+        # fleet could bind a port that another frees while it restarts a
+        # process.
         number = os.getpid() % (1 << 16)
         self._host = f'127.{number >> 8}.{number & 255}.1'
 
@@ -149,14 +154,14 @@
         self.close()
 
     def close(self):
-        """End all processes and drop their logs."""
+        """Kill all processes and delete their logs."""
         for process in self.processes_by_name.values():
             process.kill()
         self._directory.cleanup()
 
     @property
     def entry_addresses(self):
-        """Return the addresses of the entries that run."""
+        """Return the addresses of the running entries."""
         return [
             self.addresses_by_name[vm_id]
             for vm_id in self._entries_by_id
@@ -164,18 +169,18 @@
         ]
 
     def _start_all(self):
-        self._report('starting the stand-ins of platform and back ends')
-        self._launch_stand_in('platform', 'platform')
+        self._report('starting the fake platform and back ends')
+        self._launch_fake('platform', 'platform')
         backends = {
             place.backend_name: place for place in self._targets_by_id.values()
         }
         for place in backends.values():
             self._launch_backend(place.vm_id)
-        self._await_stand_in('platform')
+        self._await_fake('platform')
         self.publish('base', self._base_text)
         self.publish('overlay/demo', '')
         for name in backends:
-            self._await_stand_in(name)
+            self._await_fake(name)
         for vm_id, place in self._targets_by_id.items():
             self._report(f'starting target {vm_id} ({place.service})')
             self._launch_target(vm_id)
@@ -190,9 +195,9 @@
         self.wait_until_ready()
 
     def start_backend(self, vm_id):
-        """Start the engine or application of a target VM."""
+        """Start the fake engine or application of a target VM."""
         self._launch_backend(vm_id)
-        self._await_stand_in(f'{vm_id}.backend')
+        self._await_fake(f'{vm_id}.backend')
 
     def start_target(self, vm_id):
         """Start the target process of a target VM."""
@@ -207,10 +212,10 @@
     def _launch_backend(self, vm_id):
         place = self._targets_by_id[vm_id]
         module = 'engine' if place.service == LANGUAGE else 'application'
-        self._launch_stand_in(place.backend_name, module)
+        self._launch_fake(place.backend_name, module)
 
-    def _launch_stand_in(self, name, module):
-        """Start a stand-in; a restarted one keeps its address."""
+    def _launch_fake(self, name, module):
+        """Start a fake; after a restart it keeps its address."""
         address = self.addresses_by_name.get(name, f'{self._host}:0')
         self._start(
             name,
@@ -218,7 +223,7 @@
             f'--listen_address={address}',
         )
 
-    def _await_stand_in(self, name):
+    def _await_fake(self, name):
         fields = self.processes_by_name[name].wait_for_event('ready')
         self.addresses_by_name[name] = fields['address']
 
@@ -266,7 +271,7 @@
         )
 
     def _build_profiler(self, name):
-        """Return the arguments that let a daemon write a profile."""
+        """Return the arguments that run a daemon under a profiler."""
         is_daemon = name in self._targets_by_id or name in self._entries_by_id
         if self._profile_directory is None or not is_daemon:
             return []
@@ -283,20 +288,20 @@
         process.start()
 
     def publish(self, name, text):
-        """Publish a value and return its revision."""
-        answer = self._control('publish', {'name': name, 'text': text})
+        """Publish a configuration text and return its revision."""
+        answer = self._post_control('publish', {'name': name, 'text': text})
         return answer.document['revision']
 
     def set_platform_down(self, down):
-        """Switch the platform's service off or on."""
-        self._control('faults', {'down': down})
+        """Make the platform answer with status 503, or normally again."""
+        self._post_control('faults', {'down': down})
 
     def set_stale(self, stale):
-        """Let the platform answer with the oldest values, or stop it."""
-        self._control('faults', {'stale': stale})
+        """Make the platform answer with the first or the current values."""
+        self._post_control('faults', {'stale': stale})
 
     def publish_vms(self):
-        """Publish the list of VMs as it stands now."""
+        """Publish the current list of VMs."""
         rows = [
             self._build_row(place, 'target', place.service)
             for place in self._targets_by_id.values()
@@ -305,15 +310,15 @@
             self._build_row(place, 'entry', '')
             for place in self._entries_by_id.values()
         ]
-        self._control('vms', {'vms': rows})
+        self._post_control('vms', {'vms': rows})
 
     def mark_leaving(self, vm_id):
-        """List a VM as leaving."""
+        """Publish the VM list with the state ``leaving`` for a VM."""
         self._leaving.add(vm_id)
         self.publish_vms()
 
     def mark_live(self, vm_id):
-        """List a VM as live."""
+        """Publish the VM list with the state ``live`` for a VM."""
         self._leaving.discard(vm_id)
         self.publish_vms()
 
@@ -328,17 +333,21 @@
             'control_address': self.control_addresses_by_name[place.vm_id],
         }
 
-    def _control(self, action, body):
+    def _post_control(self, action, body):
         address = self.addresses_by_name['platform']
         return clients.call('POST', address, f'/control/{action}', body=body)
 
     def read_status(self, name):
-        """Return the status of a daemon."""
+        """Return the status document of a daemon."""
         address = self.admin_addresses_by_name[name]
         return clients.call('GET', address, '/status').document
 
     def wait_until_ready(self):
-        """Wait until all daemons have the configuration and are connected."""
+        """Wait until all running daemons are configured and connected.
+
+        Raise ``TimeoutError`` if a daemon takes longer than
+        ``READY_TIMEOUT_S`` seconds.
+        """
         for vm_id in (*self._targets_by_id, *self._entries_by_id):
             if self.processes_by_name[vm_id].running:
                 self._wait_for_configuration(vm_id)
@@ -352,20 +361,20 @@
                     vm_id, ready=True, targets_connected=running
                 )
         for vm_id in self._targets_by_id:
-            if self._is_whole(vm_id):
+            if self._has_running_processes(vm_id):
                 self._wait_for_backend(vm_id)
 
-    def _is_whole(self, vm_id):
-        """Tell whether a target VM's processes run."""
+    def _has_running_processes(self, vm_id):
+        """Return whether the target and its back end are running."""
         names = (vm_id, self._targets_by_id[vm_id].backend_name)
         return all(self.processes_by_name[name].running for name in names)
 
     def _wait_for_backend(self, vm_id):
-        """Wait until a target has noticed that its back end is there."""
+        """Wait until a target has detected its back end."""
         deadline_s = time.monotonic() + READY_TIMEOUT_S
         while not self.read_status(vm_id)['limit']:
             if time.monotonic() > deadline_s:
-                raise TimeoutError(f'{vm_id} does not see its back end')
+                raise TimeoutError(f'{vm_id} has not detected its back end')
             time.sleep(POLL_S)
 
     def _wait_for_configuration(self, name):
@@ -376,7 +385,10 @@
             time.sleep(POLL_S)
 
     def wait_for_status(self, name, **wanted):
-        """Wait until a daemon's status shows the ``wanted`` fields."""
+        """Wait until a daemon's status has the ``wanted`` fields; return it.
+
+        Raise ``TimeoutError`` after ``READY_TIMEOUT_S`` seconds.
+        """
         deadline_s = time.monotonic() + READY_TIMEOUT_S
         status = {}
         while time.monotonic() < deadline_s:
@@ -388,7 +400,7 @@
         raise TimeoutError(f'{name}: {status} is not {wanted}\n{log}')
 
     def count_runs(self):
-        """Return how often each payment ran, over all applications."""
+        """Return the runs of each payment reference in all applications."""
         runs = {}
         for vm_id, place in self._targets_by_id.items():
             if place.service != ACCOUNT:
@@ -400,6 +412,6 @@
         return runs
 
     def set_backend_faults(self, vm_id, **faults):
-        """Switch faults of a stand-in behind a target on or off."""
+        """Change the faults of a target's back end."""
         address = self.addresses_by_name[f'{vm_id}.backend']
         clients.call('POST', address, '/control/faults', body=faults)
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/platform.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: watched values and a lagging list of VMs."""
+"""Simulate the platform: watched values and a delayed list of VMs."""
 
 import anyio
 import fire
@@ -9,7 +9,8 @@
 class Platform:
     """Serve published values and the VM list, with faults on demand.
 
-    The paths under ``/control`` belong to the test, not to the platform.
+    Tests use the paths under ``/control``; the real platform has none.
+    A new VM list takes effect after ``list_lag_s`` seconds.
     """
 
     def __init__(self, *, list_lag_s):
@@ -25,7 +26,7 @@
         self._calls = 0
 
     async def handle(self, request):
-        """Answer one HTTP request."""
+        """Answer one HTTP request by its path."""
         if request.path.startswith('/control/'):
             await self._control(request)
             return
@@ -40,8 +41,8 @@
             await request.send_json({'error': 'unknown path'}, status=404)
 
     async def _read_vms(self, request):
-        known = request.query_by_name.get('unless_sequence')
-        if known == str(self._sequence):
+        known_sequence = request.query_by_name.get('unless_sequence')
+        if known_sequence == str(self._sequence):
             await self._send_unchanged(request)
             return
         await request.send_json({'sequence': self._sequence, 'vms': self._vms})
@@ -52,15 +53,15 @@
 
     async def _read_value(self, request):
         name = request.path.removeprefix('/v1/values/')
-        after = int(request.query_by_name.get('after', 0))
+        after_revision = int(request.query_by_name.get('after', 0))
         wait_s = float(request.query_by_name.get('wait_s', 0))
         with anyio.move_on_after(0 if self._stale else wait_s):
-            while self._get_revision(name) <= after:
+            while self._get_revision(name) <= after_revision:
                 await self._changed.wait()
         if self._stale:
             await request.send_json(self._first_values_by_name[name])
             return
-        if self._get_revision(name) <= after:
+        if self._get_revision(name) <= after_revision:
             await self._send_unchanged(request)
             return
         await request.send_json(self._values_by_name[name])
@@ -96,7 +97,7 @@
 
 
 def run(listen_address='127.0.0.1:0', list_lag_s=0.2):
-    """Serve a fake platform."""
+    """Serve a fake platform; VM lists take effect after ``list_lag_s``."""
 
     async def main():
         platform = Platform(list_lag_s=float(list_lag_s))
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/processes.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/processes.py
@@ -1,4 +1,4 @@
-"""Start, stop and freeze real processes on loopback."""
+"""Start, stop and suspend child processes."""
 
 import os
 import pathlib
@@ -15,11 +15,11 @@
 
 
 class StartFailed(Exception):
-    """Report a process that ended or kept silent while it started."""
+    """Report a process that ended or logged no start event in time."""
 
 
 class Process:
-    """Own one child process and the file of its output."""
+    """Control one Python child process and read its log file."""
 
     def __init__(self, *, name, arguments, log_path, environment=None):
         self.name = name
@@ -36,11 +36,11 @@
 
     @property
     def running(self):
-        """Tell whether the child runs."""
+        """Return whether the child is running."""
         return self._child is not None and self._child.poll() is None
 
     def start(self):
-        """Start the child; its output is added to the log file."""
+        """Start the child; its output is appended to the log file."""
         self._offset = 0
         if self._log_path.exists():
             self._offset = self._log_path.stat().st_size
@@ -55,38 +55,39 @@
         return self
 
     def read_log(self):
-        """Return what the child has written since it was started."""
+        """Return the output of the child since its last start."""
         with self._log_path.open('rb') as log:
             log.seek(self._offset)
             return log.read().decode('utf-8', 'replace')
 
     def wait_for_event(self, event, **wanted):
-        """Return the fields of the first log line of ``event``.
+        """Return the fields of the first log line with ``event``.
 
-        Raise ``StartFailed`` where none with the ``wanted`` fields comes.
+        Raise ``StartFailed`` if no line with the ``wanted`` fields appears
+        before the child ends or ``START_TIMEOUT_S`` seconds have passed.
         """
         deadline_s = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline_s:
-            alive = self.running
+            is_running = self.running
             for line in self.read_log().splitlines():
                 fields = parse_line(line)
                 if fields.get('event') == event and all(
                     fields.get(name) == value for name, value in wanted.items()
                 ):
                     return fields
-            if not alive:
+            if not is_running:
                 break
             time.sleep(POLL_S)
         raise StartFailed(f'{self.name}: no {event}\n{self.read_log()}')
 
     def kill(self):
-        """End the child at once."""
+        """Kill the child and wait for its end."""
         if self.running:
             self._child.kill()
             self._child.wait()
 
     def terminate(self):
-        """Ask the child to drain; return without waiting."""
+        """Send the child SIGTERM to drain it; return without waiting."""
         if self.running:
             self._child.terminate()
 
@@ -95,16 +96,16 @@
         return self._child.wait(timeout=STOP_TIMEOUT_S)
 
     def freeze(self):
-        """Stop the child's execution."""
+        """Suspend the child with SIGSTOP."""
         self._child.send_signal(signal.SIGSTOP)
 
     def thaw(self):
-        """Let the child run on."""
+        """Resume the child with SIGCONT."""
         self._child.send_signal(signal.SIGCONT)
 
 
 def parse_line(line):
-    """Return the fields of one key=value line."""
+    """Return the fields of a log line of key=value pairs by name."""
     return {
         name: value[1:-1] if value.startswith('"') else value
         for name, value in _FIELD.findall(line)
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/profiles.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/profiles.py
@@ -1,6 +1,6 @@
-"""Run a module under a profiler that counts processor time, not waiting.
+"""Run a module under a profiler that measures CPU time without waiting.
 
-The arguments are the file for the profile, ``-m``, a module and its flags.
+The arguments are the path of the profile, ``-m``, a module and its flags.
 """
 
 import cProfile
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/publish.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/publish.py
@@ -1,4 +1,4 @@
-"""Publish an operators' file and a list of VMs through the stand-in."""
+"""Publish an operators' file and a list of VMs on the fake platform."""
 
 import pathlib
 
@@ -53,7 +53,7 @@
 
 
 def _split(parts):
-    """Return the fields of a flag, which fire may have split already."""
+    """Return the fields of a flag; fire parses some of them into a tuple."""
     return parts.split(',') if isinstance(parts, str) else list(parts)
 
 
--- a/packages/savoryyoke-fakes/savoryyoke_fakes/web.py
+++ b/packages/savoryyoke-fakes/savoryyoke_fakes/web.py
@@ -1,4 +1,4 @@
-"""Serve a small ASGI stand-in and announce its address."""
+"""Serve an ASGI application of a fake and print its address."""
 
 import json
 import urllib.parse
@@ -12,7 +12,7 @@
 
 
 class Request:
-    """Give a stand-in the parts of one HTTP request."""
+    """Read one HTTP request and send its response."""
 
     def __init__(self, *, scope, receive, send):
         self.method = scope['method']
@@ -35,16 +35,16 @@
                 return body
 
     async def read_json(self):
-        """Return the body as JSON, an empty object where there is none."""
+        """Return the parsed JSON body; an empty body gives an empty object."""
         return json.loads(await self.read_body() or b'{}')
 
     async def wait_for_disconnect(self):
-        """Return when the caller has gone away."""
+        """Wait until the client disconnects."""
         while (await self._receive())['type'] != 'http.disconnect':
             pass
 
     async def send_json(self, value, status=200):
-        """Send ``value`` as the whole answer."""
+        """Send ``value`` as a complete JSON response."""
         await self.start(status, b'application/json')
         await self.send_part(json.dumps(value).encode(), last=True)
 
@@ -59,7 +59,7 @@
         )
 
     async def send_part(self, data, *, last=False):
-        """Send one part of the body."""
+        """Send one part of the body; ``last`` ends it."""
         await self._send(
             {
                 'type': 'http.response.body',
@@ -82,7 +82,7 @@
 async def serve(handle, *, listen_address='127.0.0.1:0', name):
     """Serve until cancelled; print the bound address first."""
     listener = servers.bind(addresses.parse_address(listen_address))
-    # Who reads the line below may connect before the server has started.
+    # The reader of the line below may connect before the server has started.
     listener.listen()
     host, port = listener.getsockname()
     print(f'event=ready name={name} address={host}:{port}', flush=True)
@@ -93,7 +93,7 @@
 
 
 def run(handle, *, listen_address, name):
-    """Run one stand-in as the whole process."""
+    """Serve a fake until the process ends."""
 
     async def main():
         await serve(handle, listen_address=listen_address, name=name)
