--- a/packages/savoryyoke-target/savoryyoke_target/__init__.py
+++ b/packages/savoryyoke-target/savoryyoke_target/__init__.py
@@ -1,1 +1,1 @@
-"""Target process: the guard in front of one engine or service."""
+"""Target process: accept calls for one engine or application."""
--- a/packages/savoryyoke-target/savoryyoke_target/__main__.py
+++ b/packages/savoryyoke-target/savoryyoke_target/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the binary savoryyoke-target."""
+"""Start the command line program savoryyoke-target."""
 
 import sys
 
@@ -18,7 +18,7 @@
 
 
 def main():
-    """Run the command that the command line names."""
+    """Run the command given on the command line and exit."""
     sys.exit(runner.main(program=PROGRAM, commands=COMMANDS))
 
 
--- a/packages/savoryyoke-target/savoryyoke_target/arrivals.py
+++ b/packages/savoryyoke-target/savoryyoke_target/arrivals.py
@@ -1,10 +1,10 @@
-"""Turn calls of the protocol into admission's arrivals."""
+"""Convert protocol calls to arrival events of admission."""
 
 from savoryyoke.admission import events as admission_events
 
 
 def build_arrival(call_id, call):
-    """Return admission's event for a call of an entry."""
+    """Return the admission event for a call received from an entry."""
     return admission_events.Arrived(
         call_id=call_id,
         team=call.team,
--- a/packages/savoryyoke-target/savoryyoke_target/backends.py
+++ b/packages/savoryyoke-target/savoryyoke_target/backends.py
@@ -1,4 +1,4 @@
-"""Call the engine or application behind this target over HTTP."""
+"""Call the back end of this target, an engine or application, over HTTP."""
 
 import json
 import urllib.parse
@@ -27,7 +27,7 @@
 
 
 class Backend:
-    """Own the connections to the back end."""
+    """Send calls to the back end over pooled HTTP connections."""
 
     def __init__(self, *, url, connect_timeout_s, answer_limit_bytes):
         self._url = url
@@ -36,16 +36,17 @@
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=CONNECTIONS_LIMIT
         )
-        # An idle connection may close just when it is used again, and then
-        # nobody knows whether the call ran: these calls get fresh ones.
+        # The back end may close an idle connection just as it is reused, and
+        # then it is unclear whether the call ran. Calls that are not
+        # idempotent therefore use new connections.
         self._fresh_pool = httpcore.AsyncConnectionPool(
             max_connections=CONNECTIONS_LIMIT, max_keepalive_connections=0
         )
 
     async def refuses_connections(self):
-        """Tell whether nothing listens at the back end's address.
+        """Return whether the back end refuses TCP connections.
 
-        A back end that is slow to accept does not refuse.
+        A connection attempt that times out is not a refusal.
         """
         address = urllib.parse.urlsplit(self._url)
         port = address.port or _PORTS_BY_SCHEME[address.scheme]
@@ -60,9 +61,11 @@
         return False
 
     async def fetch(self, call, *, timeout_s):
-        """Run ``call`` and return its whole ``Answer``-like triple.
+        """Run ``call`` and return its status, headers and body.
 
-        Raise ``NothingSent`` or ``AnswerLost``.
+        Headers are pairs of strings. Raise ``NothingSent`` if the call did
+        not reach the back end, ``AnswerLost`` if the answer did not arrive
+        completely within ``timeout_s`` or exceeds the size limit.
         """
         pool = self._pool if call.idempotent else self._fresh_pool
         try:
@@ -71,16 +74,19 @@
                     body = await self._read_body(response)
         except TimeoutError as error:
             raise exceptions.AnswerLost('timeout') from error
-        except _ERRORS as error:
-            raise _translate(error) from error
+        except _HTTP_ERRORS as error:
+            raise _convert_error(error) from error
         return response.status, _copy_headers(response), body
 
     async def stream(self, call, *, on_head, on_events, timeout_s):
-        """Run ``call`` and pass its events on as they come.
-
-        ``on_head(status, headers)`` and ``on_events(data, count)`` are
-        awaited in order. A plain answer counts as one event. Raise
-        ``NothingSent`` or ``AnswerLost``.
+        """Run ``call`` and forward its events as they arrive.
+
+        ``on_head(status, headers)`` is awaited once, then
+        ``on_events(data, count)`` for each group of complete events. An
+        answer that is not an event stream counts as one event. Raise
+        ``NothingSent`` if the call did not reach the back end,
+        ``AnswerLost`` if the answer did not arrive completely within
+        ``timeout_s`` or exceeds a size limit.
         """
         try:
             with anyio.fail_after(timeout_s):
@@ -93,8 +99,8 @@
                         await on_events(await self._read_body(response), 1)
         except TimeoutError as error:
             raise exceptions.AnswerLost('timeout') from error
-        except _ERRORS as error:
-            raise _translate(error) from error
+        except _HTTP_ERRORS as error:
+            raise _convert_error(error) from error
 
     def _open(self, pool, call):
         headers = [
@@ -102,7 +108,7 @@
             for header in call.headers
             if header.name.lower() not in _HOP_HEADERS
         ]
-        body = _add_resume(call)
+        body = _build_body(call)
         headers.append(('host', self._url.partition('://')[2]))
         headers.append(('content-length', str(len(body))))
         return pool.stream(
@@ -115,23 +121,23 @@
 
     async def _read_body(self, response):
         body = bytearray()
-        async for part in response.aiter_stream():
-            body += part
+        async for chunk in response.aiter_stream():
+            body += chunk
             if len(body) > self._answer_limit_bytes:
                 raise exceptions.AnswerLost('the answer is too large')
         return bytes(body)
 
     async def _relay_events(self, response, on_events):
         splitter = events.EventSplitter()
-        async for part in response.aiter_stream():
-            data, count = splitter.feed(part)
+        async for chunk in response.aiter_stream():
+            data, count = splitter.feed(chunk)
             if count:
                 await on_events(data, count)
         if not splitter.finished:
             raise exceptions.AnswerLost('the stream has no end')
 
 
-_ERRORS = (
+_HTTP_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -140,13 +146,16 @@
 
 
 def _is_refusal(error):
-    """Tell whether each address of the back end refused."""
+    """Return whether every address of the back end refused."""
     cause = error.__cause__ or error
     causes = getattr(cause, 'exceptions', (cause,))
-    return all(isinstance(item, ConnectionRefusedError) for item in causes)
+    return all(
+        isinstance(address_error, ConnectionRefusedError)
+        for address_error in causes
+    )
 
 
-def _translate(error):
+def _convert_error(error):
     if isinstance(error, httpcore.ConnectError | httpcore.ConnectTimeout):
         return exceptions.NothingSent(str(error))
     return exceptions.AnswerLost(str(error) or type(error).__name__)
@@ -167,8 +176,8 @@
     )
 
 
-def _add_resume(call):
-    """Return the body, with the place to resume from where there is one."""
+def _build_body(call):
+    """Return the body, with the position to resume from if there is one."""
     if not call.resume_index:
         return call.body
     body = json.loads(call.body)
--- a/packages/savoryyoke-target/savoryyoke_target/commands/run.py
+++ b/packages/savoryyoke-target/savoryyoke_target/commands/run.py
@@ -1,4 +1,4 @@
-"""Run the target process until it is drained."""
+"""Run the target process until its drain is finished."""
 
 import os
 
@@ -13,8 +13,8 @@
 def run(**flags):
     """Serve with the settings from flags and environment variables.
 
-    Return when the process has drained; raise ``SettingsError`` for
-    settings that are not valid.
+    Return when the drain is finished. Raise ``SettingsError`` for invalid
+    settings.
     """
     settings = loader.load(
         schema.TargetSettings, flags=flags, environ=os.environ
--- a/packages/savoryyoke-target/savoryyoke_target/conf.py
+++ b/packages/savoryyoke-target/savoryyoke_target/conf.py
@@ -1,4 +1,4 @@
-"""Defaults of the target process, in one place."""
+"""Define the constants of the target process."""
 
 SERVER_ERROR_STATUS = 500
 TICK_S = 0.1
--- a/packages/savoryyoke-target/savoryyoke_target/crashes.py
+++ b/packages/savoryyoke-target/savoryyoke_target/crashes.py
@@ -1,4 +1,4 @@
-"""Notice crashes of the back end and keep the requests that cause them."""
+"""Detect crashes of the back end and quarantine the requests behind them."""
 
 import itertools
 import math
@@ -15,30 +15,31 @@
 
 
 class CrashGuard:
-    """Own the quarantine of this process and the watch on its back end.
+    """Detect crashes of the back end and apply the quarantine to its calls.
 
-    A back end has crashed when a call of it broke and it then refuses a
-    new connection. ``owner`` is told through ``on_backend_stopped()``,
-    ``on_backend_restarted()`` and ``on_quarantined(call_id)``; ``share()``
-    sends the news to all entries.
+    The back end counts as crashed when a call failed and it then refuses a
+    new connection. The owner's ``on_backend_stopped()``,
+    ``on_backend_restarted()`` and ``on_quarantined(call_id)`` are called on
+    these events, and its ``running_ids`` are read. ``broadcast_load()``
+    sends the state with new crash reports to all entries.
     """
 
-    def __init__(self, *, process_name, backend, tasks, clock, share):
+    def __init__(self, *, process_name, backend, tasks, clock, broadcast_load):
         self._process_name = process_name
         self._backend = backend
         self._tasks = tasks
         self._clock = clock
-        self._share = share
+        self._broadcast_load = broadcast_load
         self._owner = None
         self._quarantine = aggregates.Quarantine()
-        self._numbers = itertools.count(1)
+        self._crash_numbers = itertools.count(1)
         self._lock = anyio.Lock()
         self._stopped = False
-        self._probe_began_s = -math.inf
+        self._probe_started_s = -math.inf
         self._crash_reports_by_call_id = {}
 
     def attach(self, owner):
-        """Set who is told of what is found."""
+        """Set the object whose callbacks are called."""
         self._owner = owner
 
     def request_run(self, call_id, call):
@@ -57,17 +58,17 @@
         return decision
 
     def end_run(self, call_id, *, succeeded):
-        """Report that a run is over without a crash."""
+        """Record that a run ended without a crash."""
         self._apply(events.RunEnded(call_id=call_id, succeeded=succeeded))
 
-    async def examine(self):
-        """Find out whether the back end died under a call that broke."""
-        came_s = self._clock()
+    async def check_backend(self):
+        """Check, after a failed call, whether the back end has crashed."""
+        requested_s = self._clock()
         async with self._lock:
-            # One probe answers all who came before it began.
-            if self._stopped or self._probe_began_s > came_s:
+            # A probe also covers the checks requested before it started.
+            if self._stopped or self._probe_started_s > requested_s:
                 return
-            self._probe_began_s = self._clock()
+            self._probe_started_s = self._clock()
             if not await self._has_crashed():
                 return
             self._stopped = True
@@ -75,9 +76,10 @@
             self._tasks.start_soon(self._await_restart)
 
     async def _has_crashed(self):
-        """Probe more than once.
+        """Return whether one of several probes is refused.
 
-        A process that dies closes its connections before its listener.
+        A process that is dying closes its connections before its listener,
+        so that the first probe may still succeed.
         """
         for delay_s in conf.CRASH_PROBE_DELAYS_S:
             await anyio.sleep(delay_s)
@@ -85,27 +87,34 @@
                 return True
         return False
 
-    def take_reports(self, call_id):
-        """Return the protocol's reports of the crash that broke a call."""
+    def pop_reports(self, call_id):
+        """Remove and return the wire reports of a call's crash."""
         return self._crash_reports_by_call_id.pop(call_id, ())
 
     def next_reports(self):
-        """Return the reports that the next message to all carries."""
-        due = events.HeartbeatDue(report_limit=conf.CRASH_REPORTS_PER_LOAD)
-        return _pack_shared(self._apply(due))
+        """Return the wire reports for the next load message."""
+        heartbeat_due = events.HeartbeatDue(
+            report_limit=conf.CRASH_REPORTS_PER_LOAD
+        )
+        return _pack_shared(self._apply(heartbeat_due))
 
     def _report_crash(self):
-        crash_id = f'{self._process_name}-{next(self._numbers)}'
-        made = self._apply(events.BackendCrashed(crash_id=crash_id))
-        reports = _pack_shared(made)
+        crash_id = f'{self._process_name}-{next(self._crash_numbers)}'
+        report_decisions = self._apply(
+            events.BackendCrashed(crash_id=crash_id)
+        )
+        reports = _pack_shared(report_decisions)
         logs.write_event(
-            'backend_stopped', level='error', crash=crash_id, known=bool(made)
+            'backend_stopped',
+            level='error',
+            crash=crash_id,
+            known=bool(report_decisions),
         )
         self._crash_reports_by_call_id = dict.fromkeys(
             self._owner.running_ids, reports
         )
         self._owner.on_backend_stopped()
-        self._share()
+        self._broadcast_load()
 
     async def _await_restart(self):
         while await self._backend.refuses_connections():
@@ -113,14 +122,14 @@
         self._stopped = False
         logs.write_event('backend_restarted')
         self._owner.on_backend_restarted()
-        self._share()
+        self._broadcast_load()
 
     def _apply(self, event):
         return self._quarantine.apply(event, now_s=self._clock())
 
 
-def _pack_shared(made):
-    """Return the protocol's reports of a decision to share, if any."""
+def _pack_shared(report_decisions):
+    """Return the reports of the decisions as wire messages, () if none."""
     return crash_reports.pack(
-        report for decision in made for report in decision.reports
+        report for decision in report_decisions for report in decision.reports
     )
--- a/packages/savoryyoke-target/savoryyoke_target/daemon.py
+++ b/packages/savoryyoke-target/savoryyoke_target/daemon.py
@@ -1,4 +1,4 @@
-"""Tie the parts of the target process together."""
+"""Build and run the components of the target process."""
 
 import secrets
 
@@ -34,7 +34,7 @@
 
 
 class Daemon:
-    """Guard one back end: take calls from entries, answer each in full."""
+    """Accept calls from entries and run them on one back end."""
 
     def __init__(self, *, settings):
         self._settings = settings
@@ -59,15 +59,15 @@
 
     @property
     def ready(self):
-        """Tell whether entries may send work here."""
+        """Return whether entries may send calls to this process."""
         return self._plane.applied is not None and not self._draining
 
     def start_drain(self):
-        """Begin the planned stop of this process."""
+        """Start the planned stop of this process."""
         self._drain_requested.set()
 
     def build_status(self):
-        """Return what operators may see."""
+        """Return the status that operators can read."""
         load = self._admission.snapshot()
         return {
             'role': 'target',
@@ -117,7 +117,7 @@
             backend=backend,
             tasks=tasks,
             clock=self._clock,
-            share=self._send_load,
+            broadcast_load=self._broadcast_load,
         )
         self._keyed_calls = keyed_calls.KeyedCalls(
             ledger=self._ledger,
@@ -186,22 +186,22 @@
         )
 
     def on_vm_list(self, vm_list):
-        """Take a list of VMs; the plane keeps it for the choice of heirs."""
+        """Ignore the list; the control plane stores it to find heirs."""
 
     def on_member_changed(self, decision):
-        """Take a change of a member, which changes nothing here."""
+        """Ignore the change; it does not affect a target process."""
 
     def on_attachments(self, vm_id, attachments):
-        """Take payloads of another process, which change nothing here."""
+        """Ignore the payloads; they do not affect a target process."""
 
     def on_configuration_applied(self, applied):
-        """Follow the configuration in force."""
-        declared = applied.configuration.data_centres_by_name.get(
+        """Apply the state of the data centre and the limits of the service."""
+        data_centre = applied.configuration.data_centres_by_name.get(
             self._settings.data_centre
         )
         self._dispatcher.set_data_centre_out(
-            declared is not None
-            and declared.state is configuration_schema.DataCentreState.OUT
+            data_centre is not None
+            and data_centre.state is configuration_schema.DataCentreState.OUT
         )
         services = applied.configuration.services_by_name
         service = services.get(self._settings.service)
@@ -212,11 +212,11 @@
                 service=self._settings.service,
             )
             return
-        highest = service.admission.max_concurrency
+        max_concurrency = service.admission.max_concurrency
         limits = admission_conf.AdmissionLimits(
-            max_concurrency=highest,
+            max_concurrency=max_concurrency,
             initial_concurrency=min(
-                service.warm_up.initial_concurrency, highest
+                service.warm_up.initial_concurrency, max_concurrency
             ),
             queue_limit=service.admission.queue_limit,
         )
@@ -236,7 +236,7 @@
             stream=stream, hello=self._build_hello()
         )
         try:
-            early = await connection.open()
+            early_messages = await connection.open()
         except edge_exceptions.ConnectionLost as error:
             logs.write_event(
                 'connection_refused', level='warning', reason=str(error)
@@ -252,7 +252,7 @@
         try:
             await connection.run(
                 lambda message: self._dispatcher.receive(session, message),
-                early,
+                early_messages,
             )
         finally:
             del self._sessions_by_number[session.number]
@@ -295,9 +295,9 @@
     async def _report_load(self):
         while True:
             await anyio.sleep(self._settings.heartbeat_period_s)
-            self._send_load()
+            self._broadcast_load()
 
-    def _send_load(self):
+    def _broadcast_load(self):
         self._broadcast(self._build_load())
 
     async def _tick(self):
@@ -307,11 +307,11 @@
             self._keyed_calls.tick()
 
     async def _drain(self, tasks):
-        """Take no new work, finish what runs, then return."""
+        """Stop taking calls, transfer the ledger, finish the running calls."""
         self._draining = True
         self._plane.start_leaving()
         logs.write_event('drain_started', target=self._settings.target_id)
-        self._send_load()
+        self._broadcast_load()
         await self._depart(tasks)
         with anyio.move_on_after(conf.KEYED_DRAIN_S):
             while self._keyed_calls.unfinished:
@@ -328,7 +328,7 @@
         await self._plane.leave()
 
     def _is_busy(self):
-        """Tell whether a call runs or the heir still waits for a record."""
+        """Return whether a call is running or a record awaits its transfer."""
         return self._dispatcher.unfinished or self._ledger.in_progress_count
 
     async def _depart(self, tasks):
@@ -352,12 +352,12 @@
         if vm_list is None:
             return ()
         return tuple(
-            row
-            for row in vm_list.vms
-            if row.role == 'target'
-            and row.service == self._settings.service
-            and row.state == 'live'
-            and row.vm_id != self._settings.vm_id
+            vm
+            for vm in vm_list.vms
+            if vm.role == 'target'
+            and vm.service == self._settings.service
+            and vm.state == 'live'
+            and vm.vm_id != self._settings.vm_id
         )
 
     def _broadcast(self, message):
--- a/packages/savoryyoke-target/savoryyoke_target/departures.py
+++ b/packages/savoryyoke-target/savoryyoke_target/departures.py
@@ -1,4 +1,4 @@
-"""Hand the ledger of this process to an heir before a planned stop."""
+"""Transfer the ledger of this process to an heir before a planned stop."""
 
 import functools
 
@@ -19,10 +19,11 @@
 
 
 class Departure:
-    """Own the connection to the heir while this process leaves.
+    """Transfer the ledger over a connection to the heir during a drain.
 
-    ``feed`` passes events to the ledger; ``broadcast`` sends a message to
-    all entries.
+    The heir is the target process that takes over the ledger.
+    ``feed(event)`` passes an event to the ledger; ``broadcast(message)``
+    sends a message to all entries.
     """
 
     def __init__(self, *, target_id, hello, tasks, feed, broadcast):
@@ -33,56 +34,56 @@
         self._broadcast = broadcast
         self._connection = None
         self._address = ''
-        self._answered = None
-        self._accepted = False
+        self._answer_received = None
+        self._accepted_by_heir = False
         self._export_number = 0
 
     async def run(self, candidates):
-        """Try one heir after another; return whether one took over.
+        """Try the candidates in order; return whether one accepted the ledger.
 
-        ``candidates`` are the live targets of the same service.
+        ``candidates`` are the VMs of live targets of the same service.
         """
-        for row in self._rank(candidates):
-            if await self._try_heir(row):
+        for vm in self._rank(candidates):
+            if await self._try_heir(vm):
                 return True
         logs.write_event('no_heir', level='warning', target=self._target_id)
         return False
 
     def _rank(self, candidates):
-        """Spread the heirs of several leaving processes over the fleet."""
+        """Sort by a hash so that stopping processes choose different heirs."""
         return sorted(
             candidates,
-            key=lambda row: xxhash.xxh3_64_intdigest(
-                f'{self._target_id}/{row.vm_id}'.encode()
+            key=lambda vm: xxhash.xxh3_64_intdigest(
+                f'{self._target_id}/{vm.vm_id}'.encode()
             ),
         )
 
-    async def _try_heir(self, row):
+    async def _try_heir(self, vm):
         try:
-            connection, early = await self._connect(row.address)
+            connection, early_messages = await self._connect(vm.address)
         except (edge_exceptions.ConnectionLost, ValueError) as error:
             logs.write_event(
-                'heir_unreachable', heir=row.vm_id, reason=str(error)
+                'heir_unreachable', heir=vm.vm_id, reason=str(error)
             )
             return False
-        self._address = row.address
-        self._answered = anyio.Event()
-        self._accepted = False
+        self._address = vm.address
+        self._answer_received = anyio.Event()
+        self._accepted_by_heir = False
         self._connection = connection
-        self._tasks.start_soon(self._serve, connection, early)
+        self._tasks.start_soon(self._serve, connection, early_messages)
         heir = ledger_snapshots.Heir(
             target_id=connection.peer.process_id,
             incarnation=connection.peer.incarnation,
         )
         self._feed(ledger_events.DrainStarted(heir=heir))
         with anyio.move_on_after(conf.HEIR_ANSWER_TIMEOUT_S):
-            await self._answered.wait()
-        if not self._accepted:
+            await self._answer_received.wait()
+        if not self._accepted_by_heir:
             connection.close()
             self._feed(
                 ledger_events.HeirLost(export_number=self._export_number)
             )
-        return self._accepted
+        return self._accepted_by_heir
 
     async def _connect(self, address):
         return await connections.connect(
@@ -91,19 +92,19 @@
             timeout_s=conf.HEIR_CONNECT_TIMEOUT_S,
         )
 
-    async def _serve(self, connection, early):
-        """Serve the heir's connection; make it anew while it is needed."""
-        await connection.run(self._receive, early)
-        self._answered.set()
-        while self._accepted:
+    async def _serve(self, connection, early_messages):
+        """Read the heir's messages; reconnect once it has the ledger."""
+        await connection.run(self._receive, early_messages)
+        self._answer_received.set()
+        while self._accepted_by_heir:
             await anyio.sleep(conf.HEIR_RETRY_S)
             try:
-                connection, early = await self._connect(self._address)
+                connection, early_messages = await self._connect(self._address)
             except edge_exceptions.ConnectionLost:
                 continue
             self._connection = connection
             self._feed(ledger_events.HeirReconnected())
-            await connection.run(self._receive, early)
+            await connection.run(self._receive, early_messages)
 
     def _receive(self, message):
         if not isinstance(message, messages.HandoverAnswer):
@@ -111,32 +112,32 @@
         if message.export_number != self._export_number:
             return
         if message.accepted:
-            self._accepted = True
+            self._accepted_by_heir = True
             self._feed(
                 ledger_events.ImportAcknowledged(
                     export_number=message.export_number
                 )
             )
-        self._answered.set()
+        self._answer_received.set()
 
     @functools.singledispatchmethod
     def carry_out(self, decision):
-        """Carry out a decision of the ledger about the planned stop."""
+        """Send the messages that a decision of the ledger calls for."""
         raise exceptions.TargetError(f'unknown decision {decision}')
 
     @carry_out.register
     def _(self, decision: ledger_decisions.ExportSnapshot):
         self._export_number = decision.snapshot.export_number
         data = snapshots.dump_snapshot(decision.snapshot)
-        starts = range(0, max(1, len(data)), conf.SNAPSHOT_PART_BYTES)
-        for part, start in enumerate(starts):
+        offsets = range(0, max(1, len(data)), conf.SNAPSHOT_PART_BYTES)
+        for part, offset in enumerate(offsets):
             self._send(
                 messages.Handover(
                     source_incarnation=decision.snapshot.source_incarnation,
                     export_number=self._export_number,
                     part=part,
-                    parts=len(starts),
-                    data=data[start : start + conf.SNAPSHOT_PART_BYTES],
+                    parts=len(offsets),
+                    data=data[offset : offset + conf.SNAPSHOT_PART_BYTES],
                 )
             )
 
@@ -148,7 +149,7 @@
             heir=decision.heir.target_id,
             incarnations=len(decision.stamps_by_incarnation),
         )
-        named = messages.HeirNamed(
+        heir_named = messages.HeirNamed(
             source_incarnation=decision.source_incarnation,
             export_number=decision.export_number,
             heir_target_id=decision.heir.target_id,
@@ -165,8 +166,8 @@
                 )
             ),
         )
-        self._send(named)
-        self._broadcast(named)
+        self._send(heir_named)
+        self._broadcast(heir_named)
 
     @carry_out.register
     def _(self, decision: ledger_decisions.TransferRecord):
@@ -177,4 +178,4 @@
         try:
             self._connection.send(message)
         except edge_exceptions.ConnectionLost:
-            self._answered.set()
+            self._answer_received.set()
--- a/packages/savoryyoke-target/savoryyoke_target/dispatcher.py
+++ b/packages/savoryyoke-target/savoryyoke_target/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carry out what admission and the ledger decide about calls."""
+"""Run calls according to the decisions of admission."""
 
 import dataclasses
 import functools
@@ -19,8 +19,8 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class LiveCall:
-    """Hold one idempotent call until its answer is on its way."""
+class ActiveCall:
+    """Hold one idempotent call from its arrival until its run has ended."""
 
     session: sessions.Session
     call: messages.Call
@@ -30,10 +30,13 @@
 
 
 class Dispatcher:
-    """Own the calls of this process.
+    """Receive the calls of this process and run the idempotent ones.
 
-    It hands idempotent calls to ``admission`` at once and the others to
-    ``keyed_calls``, which asks the ledger first.
+    Idempotent calls are passed directly to ``admission``. The other calls
+    are passed to ``keyed_calls``, which checks them with the ledger first.
+
+    ``served`` counts the idempotent calls whose run has ended, ``refused``
+    the calls that were refused.
     """
 
     def __init__(
@@ -45,7 +48,7 @@
         self._backend = backend
         self._tasks = tasks
         self._clock = clock
-        self._live_by_id = {}
+        self._active_calls_by_id = {}
         self._running_ids = set()
         self._is_out = False
         self.served = 0
@@ -53,34 +56,34 @@
 
     @property
     def unfinished(self):
-        """Return how many calls have no answer yet."""
-        return len(self._live_by_id) + self._keyed_calls.unfinished
+        """Return the number of calls without an answer."""
+        return len(self._active_calls_by_id) + self._keyed_calls.unfinished
 
     @property
     def running_ids(self):
-        """Return the idempotent calls that the back end runs."""
+        """Return the identifiers of idempotent calls that are running."""
         return frozenset(self._running_ids)
 
     def on_backend_stopped(self):
-        """Hand back what waits, as the back end is gone."""
+        """Report the crash to admission, which refuses the queued calls."""
         self.feed_admission(admission_events.BackendStopped())
 
     def on_backend_restarted(self):
-        """Start afresh with a cold back end."""
+        """Report the restart to admission; the back end counts as cold."""
         self.feed_admission(admission_events.BackendRestarted())
 
     def on_quarantined(self, call_id):
         """Stop the run of a request that crashes back ends."""
-        live = self._live_by_id.get(call_id)
-        if live is not None:
-            live.quarantined = True
-            live.scope.cancel()
+        active_call = self._active_calls_by_id.get(call_id)
+        if active_call is not None:
+            active_call.quarantined = True
+            active_call.scope.cancel()
 
     def receive(self, session, message):
-        """Take one message of an entry."""
+        """Handle one message received from an entry."""
         match message:
             case messages.Call():
-                self._take_call(session, message)
+                self._receive_call(session, message)
             case messages.Cancel():
                 self._cancel(session.identify(message.call_id))
             case messages.Credit():
@@ -89,40 +92,41 @@
                 self._keyed_calls.receive(session, message)
 
     def end_session(self, session):
-        """Cancel the idempotent calls of an entry that has gone."""
+        """Cancel the idempotent calls of an entry that has disconnected."""
         prefix = session.identify('')
-        for live_id in list(self._live_by_id):
-            if live_id.startswith(prefix):
-                self._cancel(live_id)
+        for call_id in list(self._active_calls_by_id):
+            if call_id.startswith(prefix):
+                self._cancel(call_id)
         self._keyed_calls.end_session(session)
 
-    def _take_call(self, session, call):
+    def _receive_call(self, session, call):
         if not call.idempotent:
             self._keyed_calls.offer(session, call)
             return
-        live_id = session.identify(call.call_id)
-        if live_id in self._live_by_id:
+        call_id = session.identify(call.call_id)
+        if call_id in self._active_calls_by_id:
             return
         if self._is_out:
-            self._send_elsewhere(session, call)
+            self._refuse_data_centre_out(session, call)
             return
-        self._live_by_id[live_id] = LiveCall(
+        self._active_calls_by_id[call_id] = ActiveCall(
             session=session,
             call=call,
             window=session.open_window(call),
             scope=anyio.CancelScope(),
         )
-        self.feed_admission(arrivals.build_arrival(live_id, call))
+        self.feed_admission(arrivals.build_arrival(call_id, call))
 
     def set_data_centre_out(self, is_out):
-        """Take no new calls while operators keep the data centre out.
+        """Refuse new idempotent calls while the data centre is set to out.
 
-        Entries send none either, but one that was frozen may act on what
-        it knew before. Bound keys are still served: no other process may.
+        Entries do not send calls to such a data centre, except for an entry
+        that was suspended and still uses an old configuration. Calls with
+        bound keys are still served, as no other process may run them.
         """
         self._is_out = is_out
 
-    def _send_elsewhere(self, session, call):
+    def _refuse_data_centre_out(self, session, call):
         self.refused += 1
         session.send(
             messages.Refusal(
@@ -135,7 +139,7 @@
         )
 
     def feed_admission(self, event):
-        """Pass an event to admission and carry out its decisions."""
+        """Apply an event to admission and carry out its decisions."""
         for decision in self._admission.apply(event, now_s=self._clock()):
             self._carry_out(decision)
 
@@ -153,16 +157,20 @@
 
     @_carry_out.register
     def _(self, decision: admission_decisions.Start):
-        live = self._live_by_id.get(decision.call_id)
-        if live is None:
+        active_call = self._active_calls_by_id.get(decision.call_id)
+        if active_call is None:
             self._keyed_calls.start(decision.call_id)
             return
-        verdict = self._guard.request_run(decision.call_id, live.call)
-        if isinstance(verdict, quarantine_decisions.Run):
+        quarantine_decision = self._guard.request_run(
+            decision.call_id, active_call.call
+        )
+        if isinstance(quarantine_decision, quarantine_decisions.Run):
             self._running_ids.add(decision.call_id)
-            self._tasks.start_soon(self._run, decision.call_id, live)
+            self._tasks.start_soon(self._run, decision.call_id, active_call)
         else:
-            self._tasks.start_soon(self._release, live, verdict)
+            self._tasks.start_soon(
+                self._release, active_call, quarantine_decision
+            )
 
     @_carry_out.register
     def _(self, decision: admission_decisions.Refuse):
@@ -173,14 +181,14 @@
             retry_after_s=decision.retry_after_s,
         )
         self.refused += 1
-        live = self._live_by_id.pop(decision.call_id, None)
-        if live is None:
+        active_call = self._active_calls_by_id.pop(decision.call_id, None)
+        if active_call is None:
             self._keyed_calls.refuse(decision)
             return
-        live.session.forget(live.call.call_id)
-        live.session.send(
+        active_call.session.close_window(active_call.call.call_id)
+        active_call.session.send(
             messages.Refusal(
-                call_id=live.call.call_id,
+                call_id=active_call.call.call_id,
                 outcome=messages.Outcome.NOT_RUN,
                 reason=decision.reason.value,
                 retry_after_ms=int(decision.retry_after_s * 1000),
@@ -190,64 +198,67 @@
 
     @_carry_out.register
     def _(self, decision: admission_decisions.Abort):
-        live = self._live_by_id.get(decision.call_id)
-        if live is not None:
-            live.scope.cancel()
-
-    def _cancel(self, live_id):
-        if live_id in self._live_by_id:
-            self.feed_admission(admission_events.Cancelled(call_id=live_id))
-
-    async def _release(self, live, verdict):
-        """Answer a call that the quarantine keeps from running."""
-        del self._live_by_id[verdict.call_id]
-        live.session.forget(live.call.call_id)
+        active_call = self._active_calls_by_id.get(decision.call_id)
+        if active_call is not None:
+            active_call.scope.cancel()
+
+    def _cancel(self, call_id):
+        if call_id in self._active_calls_by_id:
+            self.feed_admission(admission_events.Cancelled(call_id=call_id))
+
+    async def _release(self, active_call, quarantine_decision):
+        """Refuse a call because of the quarantine."""
+        del self._active_calls_by_id[quarantine_decision.call_id]
+        active_call.session.close_window(active_call.call.call_id)
         self.refused += 1
-        relays.send_verdict(live, verdict)
-        # Admission is still busy with the event that started the call.
-        self.feed_admission(admission_events.Released(call_id=verdict.call_id))
+        relays.send_quarantine_refusal(active_call, quarantine_decision)
+        # Done in a task of its own, after admission has finished with the
+        # event that started the call.
+        self.feed_admission(
+            admission_events.Released(call_id=quarantine_decision.call_id)
+        )
 
-    async def _run(self, live_id, live):
+    async def _run(self, call_id, active_call):
         started_s = self._clock()
-        relay = relays.Relay(live=live, clock=self._clock)
+        relay = relays.Relay(active_call=active_call, clock=self._clock)
         succeeded = False
-        with live.scope:
-            succeeded = await self._try_stream(live_id, live, relay)
-        if live.quarantined and live.scope.cancelled_caught:
+        with active_call.scope:
+            succeeded = await self._try_stream(call_id, active_call, relay)
+        if active_call.quarantined and active_call.scope.cancelled_caught:
             relay.send_stopped()
-        live.session.forget(live.call.call_id)
-        del self._live_by_id[live_id]
-        self._running_ids.discard(live_id)
-        self._guard.end_run(live_id, succeeded=succeeded)
+        active_call.session.close_window(active_call.call.call_id)
+        del self._active_calls_by_id[call_id]
+        self._running_ids.discard(call_id)
+        self._guard.end_run(call_id, succeeded=succeeded)
         self.served += 1
         first_token_s = relay.first_event_s
         self.feed_admission(
             admission_events.Finished(
-                call_id=live_id,
+                call_id=call_id,
                 succeeded=succeeded,
                 service_time_s=self._clock() - started_s,
                 first_token_s=first_token_s and first_token_s - started_s,
             )
         )
 
-    async def _try_stream(self, live_id, live, relay):
+    async def _try_stream(self, call_id, active_call, relay):
         try:
             await self._backend.stream(
-                live.call,
+                active_call.call,
                 on_head=relay.send_head,
                 on_events=relay.send_events,
-                timeout_s=live.call.remaining_ms / 1000,
+                timeout_s=active_call.call.remaining_ms / 1000,
             )
         except exceptions.NothingSent as error:
             # A call that never reached the back end did not crash it.
-            self._guard.end_run(live_id, succeeded=False)
-            self._running_ids.discard(live_id)
-            await self._guard.examine()
+            self._guard.end_run(call_id, succeeded=False)
+            self._running_ids.discard(call_id)
+            await self._guard.check_backend()
             relay.send_failure(error)
             return False
         except exceptions.BackendError as error:
-            await self._guard.examine()
-            reports = self._guard.take_reports(live_id)
+            await self._guard.check_backend()
+            reports = self._guard.pop_reports(call_id)
             relay.send_failure(error, crash_reports=reports)
             return False
         relay.send_end()
--- a/packages/savoryyoke-target/savoryyoke_target/events.py
+++ b/packages/savoryyoke-target/savoryyoke_target/events.py
@@ -3,37 +3,37 @@
 from savoryyoke_target import exceptions
 
 SEPARATOR = b'\n\n'
-DONE = b'data: [DONE]'
+END_MARKER = b'data: [DONE]'
 EVENT_LIMIT_BYTES = 64 * 1024
 
 
 class EventSplitter:
-    """Collect received bytes and hand out whole events.
+    """Collect received bytes and return complete events.
 
-    ``finished`` becomes true with the explicit end of the stream.
+    ``finished`` becomes true when the end marker of the stream arrives.
     """
 
     def __init__(self):
-        self._rest = b''
+        self._incomplete_event = b''
         self.finished = False
 
     def feed(self, data):
-        """Return the bytes of the whole events and how many there are.
+        """Return the bytes of the complete events and the number of events.
 
-        Raise ``AnswerLost`` for an event over the limit or events after the
-        end of the stream.
+        The end marker is left out. Raise ``AnswerLost`` if an incomplete
+        event exceeds ``EVENT_LIMIT_BYTES`` or events follow the end marker.
         """
-        whole, separator, self._rest = (self._rest + data).rpartition(
-            SEPARATOR
-        )
-        if len(self._rest) > EVENT_LIMIT_BYTES:
+        complete_events, separator, self._incomplete_event = (
+            self._incomplete_event + data
+        ).rpartition(SEPARATOR)
+        if len(self._incomplete_event) > EVENT_LIMIT_BYTES:
             raise exceptions.AnswerLost('an event is too large')
         if not separator:
             return b'', 0
         if self.finished:
             raise exceptions.AnswerLost('events after the end')
-        whole += separator
-        if whole.endswith(DONE + SEPARATOR):
+        complete_events += separator
+        if complete_events.endswith(END_MARKER + SEPARATOR):
             self.finished = True
-            whole = whole[: -len(DONE + SEPARATOR)]
-        return whole, whole.count(SEPARATOR)
+            complete_events = complete_events[: -len(END_MARKER + SEPARATOR)]
+        return complete_events, complete_events.count(SEPARATOR)
--- a/packages/savoryyoke-target/savoryyoke_target/exceptions.py
+++ b/packages/savoryyoke-target/savoryyoke_target/exceptions.py
@@ -1,21 +1,21 @@
-"""Errors of the target process."""
+"""Define the errors of the target process."""
 
 
 class TargetError(Exception):
-    """Describe a fault of the target process; the base of its errors."""
+    """Report an error of the target process; base of all its errors."""
 
 
 class BackendError(TargetError):
-    """Describe a call that the back end did not answer in full."""
+    """Report a call without a complete answer of the back end."""
 
 
 class NothingSent(BackendError):
-    """Report that the back end provably received no byte of the call."""
+    """Report that the back end certainly received no byte of the call."""
 
 
 class AnswerLost(BackendError):
-    """Report a call that was sent and whose answer did not arrive whole."""
+    """Report that a call may have been sent but has no complete answer."""
 
 
 class SnapshotInvalid(TargetError):
-    """Report bytes that are not what a leaving process hands over."""
+    """Report data that is not a valid snapshot or record of a ledger."""
--- a/packages/savoryyoke-target/savoryyoke_target/inheritance.py
+++ b/packages/savoryyoke-target/savoryyoke_target/inheritance.py
@@ -1,4 +1,4 @@
-"""Take over the ledgers of target processes that leave."""
+"""Receive the ledgers of target processes that are stopping."""
 
 import dataclasses
 
@@ -13,8 +13,8 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Import:
-    """Hold the parts of one snapshot until the last one is there."""
+class _SnapshotImport:
+    """Collect the parts of one snapshot until the last one arrives."""
 
     session: sessions.Session
     parts: list = dataclasses.field(default_factory=list)
@@ -22,16 +22,17 @@
 
 
 class Inheritance:
-    """Turn the messages of leaving processes into events of the ledger."""
+    """Convert messages of stopping processes to events of the ledger."""
 
     def __init__(self):
+        # Keys are pairs of source incarnation and export number.
         self._imports_by_source = {}
 
     def receive(self, session, message):
-        """Return the ledger's events that follow from ``message``."""
+        """Return the events of the ledger that ``message`` causes."""
         match message:
             case messages.Handover():
-                return self._take_part(session, message)
+                return self._receive_part(session, message)
             case messages.HeirNamed():
                 return (
                     ledger_events.HeirConfirmed(
@@ -40,15 +41,15 @@
                     ),
                 )
             case messages.RecordTransfer():
-                return self._take_record(session, message)
+                return self._receive_record(session, message)
         return ()
 
     def end_session(self, session):
-        """Return the events that follow from the end of a connection."""
+        """Return the events that the end of a connection causes."""
         sources = [
             source
-            for source, item in self._imports_by_source.items()
-            if item.session is session
+            for source, snapshot_import in self._imports_by_source.items()
+            if snapshot_import.session is session
         ]
         for source in sources:
             del self._imports_by_source[source]
@@ -57,20 +58,20 @@
             for incarnation in {incarnation for incarnation, _ in sources}
         )
 
-    def answer(self, decision):
-        """Tell the leaving process whether its snapshot is held."""
+    def send_answer(self, decision):
+        """Report to the stopping process whether its snapshot was imported."""
         source = (decision.source_incarnation, decision.export_number)
-        item = self._imports_by_source.get(source)
-        if item is None:
+        snapshot_import = self._imports_by_source.get(source)
+        if snapshot_import is None:
             return
         accepted = isinstance(decision, ledger_decisions.AcknowledgeImport)
         logs.write_event(
             'ledger_inherited',
-            source=item.session.entry_id,
+            source=snapshot_import.session.entry_id,
             incarnation=f'{decision.source_incarnation:016x}',
             accepted=accepted,
         )
-        item.session.send(
+        snapshot_import.session.send(
             messages.HandoverAnswer(
                 source_incarnation=decision.source_incarnation,
                 export_number=decision.export_number,
@@ -78,21 +79,23 @@
             )
         )
 
-    def _take_part(self, session, message):
+    def _receive_part(self, session, message):
         source = (message.source_incarnation, message.export_number)
-        item = self._imports_by_source.setdefault(
-            source, _Import(session=session)
+        snapshot_import = self._imports_by_source.setdefault(
+            source, _SnapshotImport(session=session)
         )
-        item.size_bytes += len(message.data)
-        if item.session is not session or message.part != len(item.parts):
+        snapshot_import.size_bytes += len(message.data)
+        if snapshot_import.session is not session or message.part != len(
+            snapshot_import.parts
+        ):
             return ()
-        if item.size_bytes > conf.SNAPSHOT_LIMIT_BYTES:
+        if snapshot_import.size_bytes > conf.SNAPSHOT_LIMIT_BYTES:
             return self._refuse(session, message, 'too large')
-        item.parts.append(message.data)
-        if len(item.parts) < message.parts:
+        snapshot_import.parts.append(message.data)
+        if len(snapshot_import.parts) < message.parts:
             return ()
-        data = b''.join(item.parts)
-        item.parts = []
+        data = b''.join(snapshot_import.parts)
+        snapshot_import.parts = []
         try:
             snapshot = snapshots.load_snapshot(data)
         except exceptions.SnapshotInvalid as error:
@@ -112,7 +115,7 @@
         )
         return ()
 
-    def _take_record(self, session, message):
+    def _receive_record(self, session, message):
         try:
             record = snapshots.load_record(message.data)
         except exceptions.SnapshotInvalid as error:
--- a/packages/savoryyoke-target/savoryyoke_target/keyed_calls.py
+++ b/packages/savoryyoke-target/savoryyoke_target/keyed_calls.py
@@ -1,4 +1,4 @@
-"""Run non-idempotent calls as the ledger allows, and answer from it."""
+"""Run non-idempotent calls according to the decisions of the ledger."""
 
 import dataclasses
 import functools
@@ -18,19 +18,19 @@
 from savoryyoke_target import sessions
 from savoryyoke_wire import messages
 
-SHORTEST_RUN_S = 0.001
+MIN_SERVICE_TIME_S = 0.001
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Attempt:
-    """Hold where the answer to one attempt of a call goes."""
+    """Hold the connection and call identifier for answering an attempt."""
 
     session: sessions.Session
     call_id: int
 
 
 class KeyedCalls:
-    """Own the ledger of this process and the calls that it admitted."""
+    """Apply events to the ledger and run the calls that it admits."""
 
     def __init__(
         self, *, ledger, backend, guard, tasks, clock, backend_timeout_s
@@ -51,20 +51,23 @@
         self._departure = None
 
     def attach(self, feed_admission):
-        """Set how to pass events to admission."""
+        """Set the function that passes an event to admission."""
         self._feed_admission = feed_admission
 
     def start_departure(self, departure):
-        """Pass the decisions of a planned stop to ``departure``."""
+        """Set the object that carries out decisions about the planned stop."""
         self._departure = departure
 
     @property
     def unfinished(self):
-        """Return how many attempts have no answer yet."""
+        """Return the number of unanswered attempts and admitted calls."""
         return len(self._attempts_by_message) + len(self._calls_by_key)
 
     def offer(self, session, call):
-        """Take an attempt, or the request to close its key."""
+        """Offer an attempt to the ledger, or ask it to close the key.
+
+        A call with an invalid key is refused.
+        """
         try:
             key = keys.parse(call.key)
         except calls_exceptions.InvalidKey:
@@ -105,24 +108,24 @@
         )
 
     def end_session(self, session):
-        """Forget the attempts of an entry that has gone."""
-        gone = [
+        """Remove the attempts of an entry that has disconnected."""
+        removed_messages = [
             message
             for message, attempt in self._attempts_by_message.items()
             if attempt.session is session
         ]
-        for message in gone:
+        for message in removed_messages:
             del self._attempts_by_message[message]
         for event in self._inheritance.end_session(session):
             self.feed(event)
 
     def receive(self, session, message):
-        """Take a message about the ledger of another target process."""
+        """Handle a message about the ledger of another target process."""
         for event in self._inheritance.receive(session, message):
             self.feed(event)
 
     def tick(self):
-        """Let the ledger notice the time."""
+        """Apply the passage of time to the ledger."""
         self.feed(ledger_events.Ticked())
 
     def start(self, call_id):
@@ -136,17 +139,17 @@
 
     def refuse(self, refusal):
         """Report to the ledger that admission refused a call."""
-        entry = self._calls_by_key.pop(refusal.call_id, None)
-        if entry is None:
+        key_and_call = self._calls_by_key.pop(refusal.call_id, None)
+        if key_and_call is None:
             return
         self.feed(
             ledger_events.Refused(
-                key=entry[0], retry_after_s=refusal.retry_after_s
+                key=key_and_call[0], retry_after_s=refusal.retry_after_s
             )
         )
 
     def feed(self, event):
-        """Pass an event to the ledger and carry out its decisions."""
+        """Apply an event to the ledger and carry out its decisions."""
         for decision in self._ledger.apply(event, now_s=self._clock()):
             self._carry_out(decision)
 
@@ -164,8 +167,8 @@
     @_carry_out.register
     def _(self, decision: ledger_decisions.Abandon):
         call_id = decision.key.format()
-        known = self._calls_by_key.pop(call_id, None)
-        if known is not None and call_id != self._starting_id:
+        admitted_call = self._calls_by_key.pop(call_id, None)
+        if admitted_call is not None and call_id != self._starting_id:
             self._feed_admission(admission_events.Cancelled(call_id=call_id))
 
     @_carry_out.register
@@ -176,20 +179,20 @@
 
     @_carry_out.register
     def _(self, decision: ledger_decisions.Respond):
-        attempt = self._take_attempt(decision)
+        attempt = self._pop_attempt(decision)
         if attempt is not None:
             responses.send_outcome(attempt, decision.outcome)
 
     @_carry_out.register
     def _(self, decision: ledger_decisions.Redirect):
-        attempt = self._take_attempt(decision)
+        attempt = self._pop_attempt(decision)
         if attempt is not None:
             responses.send_redirect(attempt, decision)
 
     @_carry_out.register(ledger_decisions.AcknowledgeImport)
     @_carry_out.register(ledger_decisions.RefuseImport)
     def _(self, decision):
-        self._inheritance.answer(decision)
+        self._inheritance.send_answer(decision)
 
     @_carry_out.register(ledger_decisions.ExportSnapshot)
     @_carry_out.register(ledger_decisions.NameHeir)
@@ -197,8 +200,8 @@
     def _(self, decision):
         self._departure.carry_out(decision)
 
-    def _take_attempt(self, decision):
-        """Return where the answer goes, None if its entry has gone."""
+    def _pop_attempt(self, decision):
+        """Remove and return the attempt, None if its entry disconnected."""
         self._offers_by_attempt_id.pop(decision.attempt_id, None)
         message = (decision.attempt_id, decision.number)
         return self._attempts_by_message.pop(message, None)
@@ -210,24 +213,24 @@
         self._running_ids.discard(call_id)
         del self._calls_by_key[call_id]
         self.feed(event)
-        service_time_s = max(self._clock() - started_s, SHORTEST_RUN_S)
+        service_time_s = max(self._clock() - started_s, MIN_SERVICE_TIME_S)
         self._finish_admission(
             call_id, succeeded=succeeded, service_time_s=service_time_s
         )
 
     async def _fetch(self, key, call):
-        """Return the ledger's event for the end of a run, and its success."""
+        """Run a call; return its final ledger event and if it succeeded."""
         try:
             status, headers, body = await self._backend.fetch(
                 call, timeout_s=self._backend_timeout_s
             )
         except exceptions.NothingSent as error:
             _log_failure(key, error)
-            self._tasks.start_soon(self._guard.examine)
+            self._tasks.start_soon(self._guard.check_backend)
             return ledger_events.HandOverFailed(key=key), False
         except exceptions.AnswerLost as error:
             _log_failure(key, error)
-            self._tasks.start_soon(self._guard.examine)
+            self._tasks.start_soon(self._guard.check_backend)
             return ledger_events.HandOverLost(key=key), False
         answer = outcomes.Answer(status=status, headers=headers, body=body)
         event = ledger_events.Completed(key=key, answer=answer)
--- a/packages/savoryyoke-target/savoryyoke_target/metrics.py
+++ b/packages/savoryyoke-target/savoryyoke_target/metrics.py
@@ -4,7 +4,7 @@
 
 
 def register(registry, *, admission, ledger, dispatcher, plane):
-    """Register gauges that read the state when they are collected."""
+    """Register gauges that compute their values at each collection."""
     gauges = {
         'savoryyoke_target_running': (
             'Calls that the back end runs.',
@@ -39,6 +39,6 @@
             lambda: dispatcher.refused,
         ),
     }
-    for name, (text, read) in gauges.items():
+    for name, (text, read_value) in gauges.items():
         gauge = prometheus_client.Gauge(name, text, registry=registry)
-        gauge.set_function(read)
+        gauge.set_function(read_value)
--- a/packages/savoryyoke-target/savoryyoke_target/relays.py
+++ b/packages/savoryyoke-target/savoryyoke_target/relays.py
@@ -1,4 +1,4 @@
-"""Pass the answer of one idempotent call on to its entry."""
+"""Forward the answers of idempotent calls to their entries."""
 
 from savoryyoke.quarantine import decisions as quarantine_decisions
 from savoryyoke_edge import logs
@@ -9,13 +9,17 @@
 
 
 class Relay:
-    """Pass one answer on to its entry, as fast as the entry takes it."""
+    """Forward one answer to its entry under flow control.
 
-    def __init__(self, *, live, clock):
-        self._session = live.session
-        self._call_id = live.call.call_id
-        self._window = live.window
-        self._index = live.call.resume_index
+    ``status`` is the HTTP status, 0 before the head; ``first_event_s`` the
+    time of the first event by ``clock``, or None.
+    """
+
+    def __init__(self, *, active_call, clock):
+        self._session = active_call.session
+        self._call_id = active_call.call.call_id
+        self._window = active_call.window
+        self._index = active_call.call.resume_index
         self._clock = clock
         self.status = 0
         self.first_event_s = None
@@ -32,7 +36,7 @@
         )
 
     async def send_events(self, data, count):
-        """Send the next events once the window is open."""
+        """Wait until the flow-control window is open and send the events."""
         if self.first_event_s is None:
             self.first_event_s = self._clock()
         await self._window.spend(len(data))
@@ -47,13 +51,13 @@
         self._index += count
 
     def send_end(self):
-        """Send the explicit end."""
+        """Send the end of the answer."""
         self._session.send(
             messages.End(call_id=self._call_id, total=self._index)
         )
 
     def send_stopped(self):
-        """Tell the entry that the run was stopped for good."""
+        """Send a refusal for a run that the quarantine stopped."""
         self._session.send(
             messages.Refusal(
                 call_id=self._call_id,
@@ -64,7 +68,7 @@
         )
 
     def send_failure(self, error, *, crash_reports=()):
-        """Tell the entry that no more of this answer will come."""
+        """Send a refusal because the back end did not complete the answer."""
         handed_over = not isinstance(error, exceptions.NothingSent)
         outcome = messages.Outcome.NOT_RUN
         if handed_over:
@@ -87,19 +91,24 @@
         )
 
 
-def send_verdict(live, verdict):
-    """Tell the entry why the quarantine keeps a call from running."""
+def send_quarantine_refusal(active_call, quarantine_decision):
+    """Send a refusal with the reason that the quarantine gives."""
     reason = wire_conf.QUARANTINED_REASON
-    if isinstance(verdict, quarantine_decisions.RefuseWhileIsolating):
+    if isinstance(
+        quarantine_decision, quarantine_decisions.RefuseWhileIsolating
+    ):
         reason = wire_conf.ISOLATING_REASON
-        if verdict.same_request:
+        if quarantine_decision.same_request:
             reason = wire_conf.SAME_REQUEST_REASON
     logs.write_event(
-        'call_refused', call=verdict.call_id, reason=reason, retry_after_s=0.0
+        'call_refused',
+        call=quarantine_decision.call_id,
+        reason=reason,
+        retry_after_s=0.0,
     )
-    live.session.send(
+    active_call.session.send(
         messages.Refusal(
-            call_id=live.call.call_id,
+            call_id=active_call.call.call_id,
             outcome=messages.Outcome.NOT_RUN,
             reason=reason,
         )
--- a/packages/savoryyoke-target/savoryyoke_target/responses.py
+++ b/packages/savoryyoke-target/savoryyoke_target/responses.py
@@ -1,4 +1,4 @@
-"""Tell an entry the outcome of a non-idempotent call."""
+"""Send the outcome of a non-idempotent call to its entry."""
 
 import functools
 
@@ -6,7 +6,7 @@
 from savoryyoke_target import exceptions
 from savoryyoke_wire import messages
 
-LONGEST_TIME_MS = 2**32 - 1
+MAX_TIME_MS = 2**32 - 1
 
 
 def send_outcome(attempt, outcome):
@@ -15,7 +15,7 @@
 
 
 def send_redirect(attempt, redirect):
-    """Send an entry's message on to the heir."""
+    """Redirect the entry of ``attempt`` to the heir."""
     attempt.session.send(
         messages.Redirect(
             call_id=attempt.call_id,
@@ -77,7 +77,7 @@
 
 
 def _to_milliseconds(time_s):
-    return int(min(time_s * 1000, LONGEST_TIME_MS))
+    return int(min(time_s * 1000, MAX_TIME_MS))
 
 
 def _refuse(attempt, outcome, **fields):
--- a/packages/savoryyoke-target/savoryyoke_target/sessions.py
+++ b/packages/savoryyoke-target/savoryyoke_target/sessions.py
@@ -1,4 +1,4 @@
-"""Serve one entry's connection and the answers that flow back on it."""
+"""Send answers over the connection of one entry, with flow control."""
 
 import anyio
 
@@ -7,27 +7,30 @@
 
 
 class CreditWindow:
-    """Bound the bytes of one answer that the entry has not yet taken."""
+    """Limit the bytes of one answer that the entry has not yet consumed."""
 
     def __init__(self, *, credit_bytes):
         self._credit_bytes = credit_bytes
-        self._grown = anyio.Event()
+        self._credit_added = anyio.Event()
 
     def grow(self, credit_bytes):
-        """Add what the entry has taken."""
+        """Add credit that the entry has granted."""
         self._credit_bytes += credit_bytes
-        self._grown.set()
+        self._credit_added.set()
 
     async def spend(self, size_bytes):
-        """Wait until the window is open, then count ``size_bytes``."""
+        """Wait for positive credit, then subtract ``size_bytes``.
+
+        The credit may become negative.
+        """
         while self._credit_bytes <= 0:
-            self._grown = anyio.Event()
-            await self._grown.wait()
+            self._credit_added = anyio.Event()
+            await self._credit_added.wait()
         self._credit_bytes -= size_bytes
 
 
 class Session:
-    """Hold one entry's connection and the windows of its calls."""
+    """Hold one entry's connection and its calls' flow-control windows."""
 
     def __init__(self, *, number, connection):
         self.number = number
@@ -36,7 +39,7 @@
 
     @property
     def entry_id(self):
-        """Return the identifier of the entry at the other end."""
+        """Return the identifier of the connected entry."""
         return self._connection.peer.process_id
 
     def identify(self, call_id):
@@ -50,24 +53,24 @@
         return window
 
     def grow_window(self, credit):
-        """Open a call's window further, if the call still runs."""
+        """Add credit to a call's window, if the call has not ended."""
         window = self._windows_by_call_id.get(credit.call_id)
         if window is not None:
             window.grow(credit.bytes)
 
-    def forget(self, call_id):
-        """Drop the window of a call that has ended."""
+    def close_window(self, call_id):
+        """Remove the window of a call that has ended."""
         self._windows_by_call_id.pop(call_id, None)
 
     def send(self, message):
-        """Send ``message`` unless the entry has gone."""
+        """Send ``message`` unless the entry has disconnected."""
         try:
             self._connection.send(message)
         except edge_exceptions.ConnectionLost:
             return
 
     def send_answer(self, call_id, *, status, headers, body, replayed):
-        """Send a whole answer."""
+        """Send a complete answer: head, one chunk and end."""
         head = messages.Head(
             call_id=call_id, status=status, headers=to_headers(headers)
         )
--- a/packages/savoryyoke-target/savoryyoke_target/snapshots.py
+++ b/packages/savoryyoke-target/savoryyoke_target/snapshots.py
@@ -1,4 +1,4 @@
-"""Serialize what a leaving process hands to its heir."""
+"""Serialize the ledger data that a stopping process sends to its heir."""
 
 import pydantic
 
@@ -6,13 +6,14 @@
 from savoryyoke_target import exceptions
 
 _BASE64 = pydantic.ConfigDict(ser_json_bytes='base64', val_json_bytes='base64')
-# The one-tuples let the adapters carry the encoding of bytes.
+# A type adapter for a dataclass accepts no configuration of its own; the
+# one-element tuple makes the encoding of bytes configurable.
 _SNAPSHOT = pydantic.TypeAdapter(tuple[snapshots.Snapshot], config=_BASE64)
 _RECORD = pydantic.TypeAdapter(tuple[snapshots.RecordCopy], config=_BASE64)
 
 
 def dump_snapshot(snapshot):
-    """Return the bytes of a snapshot."""
+    """Return the JSON bytes of a snapshot."""
     return _SNAPSHOT.dump_json((snapshot,))
 
 
@@ -22,7 +23,7 @@
 
 
 def dump_record(record):
-    """Return the bytes of one record."""
+    """Return the JSON bytes of one record."""
     return _RECORD.dump_json((record,))
 
 
--- a/packages/savoryyoke-target/tests/commands/__init__.py
+++ b/packages/savoryyoke-target/tests/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the binary of the target process."""
+"""Tests of the command line of the target process."""
--- a/packages/savoryyoke-target/tests/commands/test_binary.py
+++ b/packages/savoryyoke-target/tests/commands/test_binary.py
@@ -17,7 +17,7 @@
 
 
 def run(*arguments):
-    """Run the binary as a process and return it once finished."""
+    """Run the program and return the completed process."""
     return subprocess.run(
         [sys.executable, '-m', 'savoryyoke_target', 'run', *arguments],
         capture_output=True,
@@ -27,14 +27,14 @@
 
 
 class BinaryTest(unittest.TestCase):
-    """Test that settings are printed, or their faults told."""
+    """Test that settings are printed, or the errors in them."""
 
     def test_settings_are_printed(self):
         process = run(*FLAGS, '--print-settings')
         self.assertEqual((process.returncode, process.stderr), (0, ''))
         self.assertIn('\ntarget_id=letters-1\n', process.stdout)
 
-    def test_faults_are_told_one_a_line(self):
+    def test_errors_are_printed_one_per_line(self):
         process = run(*FLAGS[2:], '--backend-kind=disk')
         self.assertEqual((process.returncode, process.stdout), (2, ''))
         self.assertIn('given twice', process.stderr)
